--- a/bench/cost.py
+++ b/bench/cost.py
@@ -14,14 +14,14 @@
 from typing import Any
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.jobs.model import AttemptPhase, Job
+from peathall.cluster.job import AttemptPhase, Job
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.placement.service import Placement
 from peathall.settings import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.wire import body, names
 from peathall.wire.names import JobSpec, MachineType
 from peathall.workers.events import IgnoredEvents
-from peathall.workers.model import MachinePhase
 from peathall.workers.service import Workers
 
 KIND = MachineType("g", 64.0, 4.0, 256.0, 100.0, 1.0, 10.0, 3.0, 30.0, ["a", "b"])
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -27,10 +27,10 @@
     Verdict,
     to_value,
 )
-from peathall.cluster import ClusterState
+from peathall.cluster.job import Job, JobPhase
+from peathall.cluster.state import ClusterState
 from peathall.jobs import records
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.model import Job, JobPhase
 from peathall.jobs.service import can_never_run
 from peathall.leadership.lease import LeadLease
 from peathall.settings import Params
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -28,9 +28,9 @@
     Verdict,
     to_value,
 )
-from peathall.cluster import ClusterState
+from peathall.cluster.job import Job, JobPhase
+from peathall.cluster.state import ClusterState
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.model import Job, JobPhase
 from peathall.leadership.lease import first_attempt
 from peathall.store.client import ConflictError, Drop, Item, Put, StoreError
 from peathall.store.writer import Writer
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -34,9 +34,9 @@
 from peathall.cells.settings import CellSettings
 from peathall.cells.spill import SpillRule, expected_wait_s
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
-from peathall.cluster import ClusterState
+from peathall.cluster.job import Job, JobPhase
+from peathall.cluster.state import ClusterState
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.model import Job, JobPhase
 from peathall.jobs.service import Answer, Jobs
 from peathall.leadership.election import TERM, TermRecord
 from peathall.modes import Mode
--- a/peathall/jobs/model.py
+++ b/peathall/cluster/job.py
@@ -6,7 +6,7 @@
 import math
 from enum import Enum, auto
 
-from peathall.jobs.ranges import Ranges
+from peathall.cluster.ranges import Ranges
 from peathall.wire.names import JobSpec, Standing
 
 
--- a/peathall/workers/model.py
+++ b/peathall/cluster/machine.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from enum import Enum, auto
 
-from peathall.jobs.model import Attempt, AttemptPhase
+from peathall.cluster.job import Attempt, AttemptPhase
 from peathall.wire.names import JobSpec, MachineType
 
 
--- a/peathall/cluster.py
+++ b/peathall/cluster/state.py
@@ -11,9 +11,9 @@
 from collections.abc import Callable
 
 from peathall import constants
-from peathall.jobs.model import Attempt, AttemptPhase, Job
+from peathall.cluster.job import Attempt, AttemptPhase, Job
+from peathall.cluster.machine import Machine, MachinePhase
 from peathall.wire.names import JobSpec, MachineType, Standing
-from peathall.workers.model import Machine, MachinePhase
 
 log = logging.getLogger("peathall.cluster")
 
--- a/peathall/fleet/account.py
+++ b/peathall/fleet/account.py
@@ -4,9 +4,9 @@
 
 from collections import Counter
 
-from peathall.jobs.model import AttemptPhase
+from peathall.cluster.job import AttemptPhase
+from peathall.cluster.machine import Machine, MachinePhase
 from peathall.wire.names import MachineType
-from peathall.workers.model import Machine, MachinePhase
 
 
 def share_in_use(machine: Machine) -> dict[str, float]:
--- a/peathall/fleet/boots.py
+++ b/peathall/fleet/boots.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.workers.model import Machine, MachinePhase
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 
 
 class BootTimes:
--- a/peathall/fleet/planner.py
+++ b/peathall/fleet/planner.py
@@ -6,9 +6,9 @@
 
 from msgspec import Struct
 
+from peathall.cluster.machine import Machine
 from peathall.placement.views import EPS, JobView, fits_in
 from peathall.wire.names import JobSpec, MachineType
-from peathall.workers.model import Machine
 
 
 class Offer(Struct, frozen=True):
--- a/peathall/fleet/returns.py
+++ b/peathall/fleet/returns.py
@@ -7,14 +7,14 @@
 from dataclasses import dataclass
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.job import JobPhase
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.fleet.boots import BootTimes
 from peathall.fleet.planner import offer_of, suits
-from peathall.jobs.model import JobPhase
 from peathall.settings import Params
 from peathall.wire.names import JobSpec
 from peathall.workers.health import MachineHealth
-from peathall.workers.model import Machine, MachinePhase
 
 log = logging.getLogger("peathall.fleet")
 
--- a/peathall/fleet/service.py
+++ b/peathall/fleet/service.py
@@ -9,21 +9,21 @@
 from typing import Any
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.job import JobPhase
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.fleet.account import Account
 from peathall.fleet.actions import CloudActions, CloudError, NoCapacityError, Rental
 from peathall.fleet.boots import BootTimes
 from peathall.fleet.client import CloudClient
 from peathall.fleet.planner import Bin, Offer, all_offers, offer_of, plan_rentals
 from peathall.fleet.returns import Returns, Shortage
-from peathall.jobs.model import JobPhase
 from peathall.placement.views import JobView, Plan
 from peathall.settings import Params
 from peathall.store.client import Put
 from peathall.store.writer import Writer
 from peathall.wire import body, names
 from peathall.wire.names import ListedMachine, MachineType
-from peathall.workers.model import Machine, MachinePhase
 from peathall.workers.service import Workers
 
 log = logging.getLogger("peathall.fleet")
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -11,10 +11,10 @@
 from typing import Any
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.job import Job
+from peathall.cluster.state import ClusterState
 from peathall.jobs import records
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.model import Job
 from peathall.store.client import Drop, Put, StateClient, StoreError
 from peathall.store.shared_records import SharedRecordWriter
 from peathall.store.writer import Change, Offers, Writer
--- a/peathall/jobs/records.py
+++ b/peathall/jobs/records.py
@@ -20,7 +20,7 @@
 from msgspec import Struct
 
 from peathall import constants
-from peathall.jobs.ranges import Ranges
+from peathall.cluster.ranges import Ranges
 from peathall.wire.names import Standing
 
 LIVE = "live/"
--- a/peathall/jobs/remote.py
+++ b/peathall/jobs/remote.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from peathall.jobs.model import Job
+from peathall.cluster.job import Job
 
 
 class RemoteRuns(Protocol):
--- a/peathall/jobs/service.py
+++ b/peathall/jobs/service.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.job import Job, JobPhase
+from peathall.cluster.state import ClusterState
 from peathall.jobs import records
 from peathall.jobs.archive import JobArchive
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.model import Job, JobPhase
 from peathall.jobs.remote import NothingRemote, RemoteRuns
 from peathall.settings import Params
 from peathall.store.client import Change as StoreChange
--- a/peathall/leader.py
+++ b/peathall/leader.py
@@ -10,11 +10,12 @@
 from typing import TYPE_CHECKING, Any
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.job import Job
+from peathall.cluster.machine import Machine
+from peathall.cluster.state import ClusterState
 from peathall.fleet.client import CloudClient
 from peathall.fleet.service import TYPES, Fleet
 from peathall.jobs import records
-from peathall.jobs.model import Job
 from peathall.jobs.service import NOT_NOW, Answer, Jobs
 from peathall.leadership.election import TERM, Mandate
 from peathall.leadership.lease import first_attempt
@@ -26,7 +27,6 @@
 from peathall.store.writer import Writer, WriterPhase
 from peathall.wire.names import JobSpec, Report
 from peathall.workers.caches import CACHE, Caches
-from peathall.workers.model import Machine
 from peathall.workers.service import Workers
 from peathall.workers.suspects import SUSPECTS, Suspects
 
--- a/peathall/placement/bookings.py
+++ b/peathall/placement/bookings.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from peathall.jobs.model import Job
+from peathall.cluster.job import Job
 from peathall.wire.names import JobSpec
 
 
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -19,14 +19,14 @@
 from msgspec import Struct
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.jobs.model import Attempt, AttemptPhase
-from peathall.jobs.ranges import Ranges
+from peathall.cluster.job import Attempt, AttemptPhase
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.ranges import Ranges
+from peathall.cluster.state import ClusterState
 from peathall.placement.views import Start
 from peathall.store.client import Item, Put
 from peathall.store.writer import Change, Offers, Writer
 from peathall.wire.body import json_size
-from peathall.workers.model import MachinePhase
 
 ROUND = "round/"
 
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -10,8 +10,9 @@
 from typing import Protocol
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.jobs.model import Attempt, AttemptPhase, JobPhase, Trust
+from peathall.cluster.job import Attempt, AttemptPhase, JobPhase, Trust
+from peathall.cluster.machine import Machine
+from peathall.cluster.state import ClusterState
 from peathall.placement.bookings import Booking, Bookings
 from peathall.placement.planner import Round
 from peathall.placement.rounds import Piece, RoundRecords, joined_by_gangs
@@ -21,7 +22,6 @@
 from peathall.store.client import StoreError
 from peathall.store.writer import Offers, Writer
 from peathall.wire.names import JobSpec
-from peathall.workers.model import Machine
 from peathall.workers.service import Workers
 
 log = logging.getLogger("peathall.placement")
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -5,8 +5,9 @@
 from collections.abc import Iterator
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.jobs.model import Attempt, Job, JobPhase, Trust
+from peathall.cluster.job import Attempt, Job, JobPhase, Trust
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.placement.bookings import Bookings
 from peathall.placement.ordering import gathering_s, latest_start
 from peathall.placement.views import (
@@ -19,7 +20,6 @@
 )
 from peathall.settings import Params
 from peathall.wire.names import JobSpec
-from peathall.workers.model import Machine, MachinePhase
 from peathall.workers.service import Workers
 
 
--- a/peathall/workers/caches.py
+++ b/peathall/workers/caches.py
@@ -10,11 +10,11 @@
 from zlib import crc32
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.machine import Machine
+from peathall.cluster.state import ClusterState
 from peathall.store.client import Drop, Item, Put
 from peathall.store.writer import Change, Writer
 from peathall.wire.body import json_size
-from peathall.workers.model import Machine
 
 CACHE = "cache/"
 
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -9,11 +9,11 @@
 from typing import Any, Protocol
 
 from peathall import constants
+from peathall.cluster.machine import Machine
 from peathall.store.budget import Budget
 from peathall.wire import body, names
 from peathall.wire.http import HttpClient, NoAnswerError
 from peathall.wire.names import Report
-from peathall.workers.model import Machine
 
 log = logging.getLogger("peathall.workers")
 
--- a/peathall/workers/events.py
+++ b/peathall/workers/events.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from peathall.jobs.model import Job
-from peathall.workers.model import Machine
+from peathall.cluster.job import Job
+from peathall.cluster.machine import Machine
 
 
 class WorkerListener(Protocol):
--- a/peathall/workers/exits.py
+++ b/peathall/workers/exits.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from peathall.cluster import ClusterState
+from peathall.cluster.state import ClusterState
 
 ExitKey = tuple[str, int, int]  # job, task, attempt
 
--- a/peathall/workers/faults.py
+++ b/peathall/workers/faults.py
@@ -9,9 +9,9 @@
 from collections.abc import Callable
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.jobs.model import Attempt, Job, Trust
-from peathall.workers.model import Machine
+from peathall.cluster.job import Attempt, Job, Trust
+from peathall.cluster.machine import Machine
+from peathall.cluster.state import ClusterState
 
 
 class FaultTracker:
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.settings import WorkerSettings
-from peathall.workers.model import Machine, MachinePhase
 
 log = logging.getLogger("peathall.workers")
 
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 
 from peathall import constants
+from peathall.cluster.machine import Machine, MachinePhase
 from peathall.wire.http import HttpClient, NoAnswerError
 from peathall.workers.health import MachineHealth
-from peathall.workers.model import Machine, MachinePhase
 
 
 class LivenessProbes:
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -9,8 +9,9 @@
 from typing import Any
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.jobs.model import Attempt, AttemptPhase, Job, JobPhase
+from peathall.cluster.job import Attempt, AttemptPhase, Job, JobPhase
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.leadership.lease import token
 from peathall.settings import WorkerSettings
 from peathall.wire import names
@@ -20,7 +21,6 @@
 from peathall.workers.exits import ExitedAttempt, ExitedAttempts, ExitKey
 from peathall.workers.faults import FaultTracker
 from peathall.workers.health import MachineHealth, ReportsElsewhere
-from peathall.workers.model import Machine, MachinePhase
 from peathall.workers.probes import LivenessProbes
 
 log = logging.getLogger("peathall.workers")
--- a/peathall/workers/suspects.py
+++ b/peathall/workers/suspects.py
@@ -6,8 +6,8 @@
 from __future__ import annotations
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.jobs.model import Trust
+from peathall.cluster.job import Trust
+from peathall.cluster.state import ClusterState
 from peathall.store.client import Item, Put
 from peathall.store.writer import Change, Writer
 from peathall.workers.faults import FaultTracker
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -7,14 +7,14 @@
 from typing import Any
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.fleet.service import list_gap_s
 from peathall.settings import StateSettings
 from peathall.store.client import Put
 from peathall.store.writer import Writer
 from peathall.wire.recent import RecentlyRead
 from peathall.workers.caches import Caches
-from peathall.workers.model import MachinePhase
 from tests.sim.fleet_day import FleetPlayer
 from tests.sim.test_days import virtual
 from tests.unit.test_store import lead
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -10,12 +10,12 @@
 import pytest
 
 from peathall import constants
-from peathall.cluster import ClusterState
-from peathall.jobs.model import Attempt, AttemptPhase, Job, Trust
+from peathall.cluster.job import Attempt, AttemptPhase, Job, Trust
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.store.client import Item, Put
 from peathall.store.writer import Writer
 from peathall.workers.faults import FaultTracker
-from peathall.workers.model import MachinePhase
 from peathall.workers.suspects import Suspects
 from tests.unit.test_planner import spec
 from tests.unit.test_store import LIMITS, lead
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -6,11 +6,11 @@
 from collections.abc import Awaitable, Callable
 
 from peathall import constants
+from peathall.cluster.machine import Machine, MachinePhase
 from peathall.fleet.actions import CloudError, Rental
 from peathall.fleet.service import Fleet
 from peathall.placement.views import JobView
 from peathall.wire.names import ListedMachine
-from peathall.workers.model import Machine, MachinePhase
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_fleet, new_workers, report
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -7,9 +7,9 @@
 
 import msgspec
 
-from peathall.cluster import ClusterState
+from peathall.cluster.job import JobPhase
+from peathall.cluster.state import ClusterState
 from peathall.jobs import records
-from peathall.jobs.model import JobPhase
 from peathall.jobs.service import Jobs, can_never_run
 from peathall.settings import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.store.client import Put
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -8,10 +8,10 @@
 
 import pytest
 
+from peathall.cluster.job import Job
+from peathall.cluster.machine import Machine
 from peathall.fleet.service import Fleet
-from peathall.jobs.model import Job
 from peathall.wire.http import NoAnswerError
-from peathall.workers.model import Machine
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_fleet, new_workers, report
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -25,6 +25,7 @@
 from peathall.cells.service import CellLeader
 from peathall.cells.settings import Neighbour
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
+from peathall.cluster.machine import Machine, MachinePhase
 from peathall.duties import model as duties
 from peathall.duties.service import Duties
 from peathall.duties.settings import DutySettings
@@ -39,7 +40,6 @@
 from peathall.wire import names
 from peathall.wire.http import Request, Response
 from peathall.workers import delivery, probes
-from peathall.workers.model import Machine, MachinePhase
 
 CBOR, JSON = "application/cbor", "application/json"
 Call = tuple[str, str, Any]  # method, path, value of the body; None: no body
--- a/tests/unit/test_ranges.py
+++ b/tests/unit/test_ranges.py
@@ -3,7 +3,7 @@
 import itertools
 import random
 
-from peathall.jobs.ranges import Ranges
+from peathall.cluster.ranges import Ranges
 
 
 def test_ranges_behave_like_a_set() -> None:
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -8,8 +8,9 @@
 
 import pytest
 
-from peathall.cluster import ClusterState
-from peathall.jobs.model import AttemptPhase, Job
+from peathall.cluster.job import AttemptPhase, Job
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.leadership.lease import first_attempt
 from peathall.placement.rounds import ROUND, RoundRecords, from_record
 from peathall.placement.views import Plan, Start
@@ -17,7 +18,6 @@
 from peathall.store.client import InvalidError, Item
 from peathall.store.writer import Writer
 from peathall.wire.body import json_size
-from peathall.workers.model import MachinePhase
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_store import FakeStore, lead
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -7,8 +7,8 @@
 
 import pytest
 
+from peathall.cluster.ranges import Ranges
 from peathall.jobs.fallback import Fallback
-from peathall.jobs.ranges import Ranges
 from peathall.jobs.records import DONE, block_tasks, done_key, done_record, to_value
 from peathall.leadership.lease import LeadLease, first_attempt, token
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -21,6 +21,8 @@
 from peathall.cells.borrower import BorrowedJobs
 from peathall.cells.home import HomeHandoffs
 from peathall.cells.model import BorrowPhase, HandoffPhase, Offer, OfferAnswer, Ruling, Verdict
+from peathall.cluster.job import Job, Trust
+from peathall.cluster.machine import Machine, MachinePhase
 from peathall.duties.board import DutyBoard
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.executor import DutyExecutor
@@ -30,7 +32,6 @@
 from peathall.fleet.actions import Rental
 from peathall.jobs.fallback import Fallback
 from peathall.jobs.live import Live
-from peathall.jobs.model import Job, Trust
 from peathall.jobs.service import Jobs
 from peathall.leadership.election import Election, Mandate
 from peathall.leadership.lease import LeadLease, first_attempt
@@ -43,7 +44,6 @@
 from peathall.wire.names import JobSpec, MachineType, Standing
 from peathall.workers.caches import Caches
 from peathall.workers.faults import FaultTracker
-from peathall.workers.model import Machine, MachinePhase
 from peathall.workers.suspects import Suspects
 from tests.unit.test_jobs import PARAMS, leader
 from tests.unit.test_store import LIMITS, FakeStore
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -10,9 +10,10 @@
 import orjson
 
 from peathall import constants
-from peathall.cluster import ClusterState
+from peathall.cluster.job import Attempt, AttemptPhase, Job, JobPhase
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.fleet.service import Fleet
-from peathall.jobs.model import Attempt, AttemptPhase, Job, JobPhase
 from peathall.leadership.lease import first_attempt, token
 from peathall.peers.service import Peers
 from peathall.placement.service import Placement
@@ -25,7 +26,6 @@
 from peathall.wire.names import MachineType, Report, TaskReport, TaskState, Why, report_from_wire
 from peathall.workers.caches import Caches
 from peathall.workers.events import IgnoredEvents
-from peathall.workers.model import Machine, MachinePhase
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_store import lead
