--- a/bench/cells_real.py
+++ b/bench/cells_real.py
@@ -23,7 +23,7 @@
 import orjson
 
 from bench.freezes import Site, read, standing, submit
-from peathall.wire.http import HttpClient, NoAnswerError
+from peathall.http.client import HttpClient, NoAnswerError
 
 CELLS, SIZE, MACHINES = 3, 3, 4
 TASK_S = 20.0
--- a/bench/freezes.py
+++ b/bench/freezes.py
@@ -25,8 +25,8 @@
 import orjson
 from hdrh.histogram import HdrHistogram
 
+from peathall.http.client import HttpClient, NoAnswerError
 from peathall.wire import body
-from peathall.wire.http import HttpClient, NoAnswerError
 from tests.sim.duty_history import DutyJudge
 
 ROOT = Path(__file__).resolve().parents[1]
--- a/bench/stand_in.py
+++ b/bench/stand_in.py
@@ -21,8 +21,10 @@
 
 import orjson
 
+from peathall.http.client import HttpClient, NoAnswerError
+from peathall.http.message import Request, Response
+from peathall.http.server import HttpServer
 from peathall.wire import body
-from peathall.wire.http import HttpClient, HttpServer, NoAnswerError, Request, Response
 from tests.sim.net import CALLER
 from tests.sim.state import State
 
--- a/peathall/cells/client.py
+++ b/peathall/cells/client.py
@@ -22,7 +22,7 @@
     to_value,
 )
 from peathall.cells.settings import Neighbour
-from peathall.wire.http import HttpClient, NoAnswerError
+from peathall.http.client import HttpClient, NoAnswerError
 
 log = logging.getLogger("peathall.cells")
 
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -34,12 +34,12 @@
 from peathall.duties.status import DutiesStatus, describe
 from peathall.duties.writes import DelegatedWrites
 from peathall.fleet.client import CloudClient
+from peathall.http.client import NoAnswerError
 from peathall.leadership.election import LEAD, LeadValue
 from peathall.modes import Mode
 from peathall.settings import Settings
 from peathall.store.client import ConflictError, Drop, Item, StateClient, StoreError
 from peathall.store.writer import Writer
-from peathall.wire.http import NoAnswerError
 
 log = logging.getLogger("peathall.duties")
 
--- a/peathall/fleet/client.py
+++ b/peathall/fleet/client.py
@@ -9,10 +9,10 @@
 
 from peathall import constants
 from peathall.fleet.actions import CloudError, NoCapacityError, Rental
+from peathall.http.client import HttpClient, NoAnswerError
 from peathall.settings import CloudSettings
 from peathall.store.budget import Budget
 from peathall.wire import body, names
-from peathall.wire.http import HttpClient, NoAnswerError
 from peathall.wire.names import ListedMachine, MachineType
 
 
--- /dev/null
+++ b/peathall/http/client.py
@@ -0,0 +1,163 @@
+"""HTTP/1.1 client with pooled connections on asyncio protocols and httptools."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+import httptools
+
+from peathall import constants
+
+
+class NoAnswerError(Exception):
+    """No usable answer. `sent` tells whether the request may have been carried out."""
+
+    def __init__(self, why: str, sent: bool) -> None:
+        super().__init__(why)
+        self.sent = sent
+
+
+class ClientConnection(asyncio.Protocol):
+    """A connection to a server."""
+
+    def __init__(self) -> None:
+        self.transport: asyncio.Transport | None = None
+        self.parser: httptools.HttpResponseParser | None = None
+        self.answer: asyncio.Future[tuple[int, bytes]] | None = None
+        self.body: list[bytes] = []
+        self.closed = False
+        self.reusable = True
+        self.idle_since = 0.0
+
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """asyncio: connected."""
+        assert isinstance(transport, asyncio.Transport)
+        self.transport = transport
+
+    def connection_lost(self, exc: Exception | None) -> None:
+        """asyncio: the connection is gone."""
+        self.closed = True
+        self._fail("connection lost")
+
+    def _fail(self, why: str) -> None:
+        if self.answer is not None and not self.answer.done():
+            self.answer.set_exception(NoAnswerError(why, sent=True))
+
+    def data_received(self, data: bytes) -> None:
+        """asyncio: bytes have arrived."""
+        if self.parser is None:
+            self.abort()
+            return
+        try:
+            self.parser.feed_data(data)
+        except httptools.HttpParserError:
+            self._fail("garbled answer")
+            self.abort()
+
+    def on_body(self, body: bytes) -> None:
+        """httptools: a part of the body."""
+        self.body.append(body)
+
+    def on_message_complete(self) -> None:
+        """httptools: the answer is complete."""
+        assert self.parser is not None
+        self.reusable = self.parser.should_keep_alive()
+        if self.answer is not None and not self.answer.done():
+            self.answer.set_result((self.parser.get_status_code(), b"".join(self.body)))
+
+    def send(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
+        """Send a request; the future gives status and body."""
+        assert self.transport is not None
+        self.parser = httptools.HttpResponseParser(self)
+        self.body = []
+        self.answer = asyncio.get_running_loop().create_future()
+        self.transport.write(data)
+        return self.answer
+
+    def abort(self) -> None:
+        """End the connection."""
+        self.closed = True
+        if self.transport is not None:
+            self.transport.abort()
+
+
+class HttpClient:
+    """Requests to one address over kept connections, one request at a time on each."""
+
+    def __init__(
+        self,
+        addr: str,
+        content_type: str = "application/cbor",
+        keep: int = 4,
+        may_send: Callable[[], bool] = lambda: True,
+    ) -> None:
+        host, _, port = addr.rpartition(":")
+        self.addr = addr
+        self.host = host
+        self.port = int(port)
+        self.content_type = content_type
+        self.keep = keep
+        self.may_send = may_send
+        self.idle: list[ClientConnection] = []
+        self.busy = 0  # requests under way
+
+    async def _connect(self, timeout: float) -> ClientConnection:
+        loop = asyncio.get_running_loop()
+        now = loop.time()
+        while self.idle:
+            connection = self.idle.pop()
+            if not connection.closed and now - connection.idle_since < constants.POOL_IDLE_S:
+                return connection
+            connection.abort()
+        try:
+            _, made = await asyncio.wait_for(
+                loop.create_connection(ClientConnection, self.host, self.port), timeout
+            )
+        except (OSError, TimeoutError) as exc:
+            why = f"cannot connect to {self.addr}: {exc or 'timeout'}"
+            raise NoAnswerError(why, sent=False) from None
+        return made
+
+    async def request(
+        self, method: str, path: str, body: bytes = b"", timeout: float = 5.0
+    ) -> tuple[int, bytes]:
+        """Status and body of the answer, or NoAnswerError."""
+        self.busy += 1
+        try:
+            return await self._request(method, path, body, timeout)
+        finally:
+            self.busy -= 1
+
+    async def _request(
+        self, method: str, path: str, body: bytes, timeout: float
+    ) -> tuple[int, bytes]:
+        head = (
+            f"{method} {path} HTTP/1.1\r\nHost: {self.addr}\r\n"
+            f"Content-Type: {self.content_type}\r\nContent-Length: {len(body)}\r\n\r\n"
+        )
+        connection = await self._connect(min(constants.CONNECT_S, timeout))
+        if not self.may_send():
+            # Whoever asked for it may have stood still since: it must not leave after that.
+            connection.abort()
+            raise NoAnswerError("no longer entitled to send", sent=False)
+        try:
+            answer = await asyncio.wait_for(connection.send(head.encode() + body), timeout)
+        except TimeoutError:
+            connection.abort()
+            raise NoAnswerError(f"no answer from {self.addr}", sent=True) from None
+        except BaseException:
+            connection.abort()
+            raise
+        if connection.reusable and not connection.closed and len(self.idle) < self.keep:
+            connection.idle_since = asyncio.get_running_loop().time()
+            self.idle.append(connection)
+        else:
+            connection.abort()
+        return answer
+
+    def close(self) -> None:
+        """End the connections that are not in use."""
+        for connection in self.idle:
+            connection.abort()
+        self.idle.clear()
--- a/peathall/node.py
+++ b/peathall/node.py
@@ -19,6 +19,10 @@
 from peathall.duties.settings import DutySettings
 from peathall.fleet.client import CloudClient
 from peathall.fleet.service import TYPES
+from peathall.http.client import NoAnswerError
+from peathall.http.message import Request, Response
+from peathall.http.request_queue import Rank, Turns
+from peathall.http.server import HttpServer
 from peathall.jobs.fallback import Fallback
 from peathall.jobs.service import NOT_NOW, Answer
 from peathall.leader import Leader
@@ -28,9 +32,7 @@
 from peathall.settings import Operator, Settings, split_addr
 from peathall.store.client import StateClient, StoreError
 from peathall.wire import body, names
-from peathall.wire.http import HttpServer, NoAnswerError, Request, Response
 from peathall.wire.names import JobSpec
-from peathall.wire.turns import Rank, Turns
 
 if TYPE_CHECKING:
     from peathall.duties.service import Duties
--- a/peathall/peers/service.py
+++ b/peathall/peers/service.py
@@ -10,8 +10,9 @@
 import orjson
 
 from peathall import constants
+from peathall.http.client import HttpClient, NoAnswerError
+from peathall.http.message import Request, Response
 from peathall.settings import Peer
-from peathall.wire.http import HttpClient, NoAnswerError, Request, Response
 
 log = logging.getLogger("peathall.peers")
 
--- a/peathall/status_command.py
+++ b/peathall/status_command.py
@@ -14,7 +14,7 @@
 import orjson
 
 from peathall import constants, settings
-from peathall.wire.http import HttpClient, NoAnswerError
+from peathall.http.client import HttpClient, NoAnswerError
 
 S = TypeVar("S", bound=msgspec.Struct)
 
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -10,10 +10,10 @@
 from msgspec import Struct
 
 from peathall import constants
+from peathall.http.client import HttpClient, NoAnswerError
 from peathall.settings import StateSettings
 from peathall.store.budget import Budget
 from peathall.wire import body
-from peathall.wire.http import HttpClient, NoAnswerError
 
 
 class StoreError(Exception):
--- a/peathall/wire/body.py
+++ b/peathall/wire/body.py
@@ -8,7 +8,7 @@
 import orjson
 
 from peathall import constants
-from peathall.wire.http import Response
+from peathall.http.message import Response
 
 
 class MalformedError(Exception):
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -10,9 +10,9 @@
 
 from peathall import constants
 from peathall.cluster.machine import Machine
+from peathall.http.client import HttpClient, NoAnswerError
 from peathall.store.budget import Budget
 from peathall.wire import body, names
-from peathall.wire.http import HttpClient, NoAnswerError
 from peathall.wire.names import Report
 
 log = logging.getLogger("peathall.workers")
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -7,7 +7,7 @@
 
 from peathall import constants
 from peathall.cluster.machine import Machine, MachinePhase
-from peathall.wire.http import HttpClient, NoAnswerError
+from peathall.http.client import HttpClient, NoAnswerError
 from peathall.workers.health import MachineHealth
 
 
--- a/tests/sim/state.py
+++ b/tests/sim/state.py
@@ -8,8 +8,9 @@
 from typing import Any
 from urllib.parse import parse_qs, unquote
 
+from peathall.http.message import Request, Response
+from peathall.http.server import HttpServer
 from peathall.wire import body
-from peathall.wire.http import HttpServer, Request, Response
 from tests.sim.net import CALLER, VirtualLoop
 
 
--- a/tests/sim/test_combined_failures.py
+++ b/tests/sim/test_combined_failures.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from peathall.wire.http import HttpClient, NoAnswerError
+from peathall.http.client import HttpClient, NoAnswerError
 from tests.sim.net import Host
 from tests.sim.sites import node_settings
 from tests.sim.test_days import cut, draw_job, mute, users, virtual
--- a/tests/sim/test_days.py
+++ b/tests/sim/test_days.py
@@ -14,7 +14,7 @@
 import pytest
 
 from peathall import settings
-from peathall.wire.http import HttpClient, NoAnswerError
+from peathall.http.client import HttpClient, NoAnswerError
 from tests.sim.net import Host, VirtualLoop
 from tests.sim.sites import node_settings
 from tests.sim.world import World
--- a/tests/sim/test_duties_command.py
+++ b/tests/sim/test_duties_command.py
@@ -15,11 +15,12 @@
 from peathall import cli
 from peathall.duties.model import Duty
 from peathall.duties.status import describe
+from peathall.http.message import Request, Response
+from peathall.http.server import HttpServer
 from peathall.modes import Mode
 from peathall.operator_file import load_operator
 from peathall.settings import SettingsError
 from peathall.store.client import Item
-from peathall.wire.http import HttpServer, Request, Response
 from tests.unit.test_settings import TEXT
 
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "peathall.textproto"
--- a/tests/sim/test_http.py
+++ b/tests/sim/test_http.py
@@ -11,9 +11,11 @@
 import msgspec
 
 from peathall import constants
+from peathall.http.client import HttpClient
+from peathall.http.message import Request, Response
+from peathall.http.server import HttpServer
 from peathall.node import Node
 from peathall.settings import Operator
-from peathall.wire.http import HttpClient, HttpServer, Request, Response
 from peathall.wire.names import Report
 from tests.sim.net import HOST, Host, VirtualLoop
 from tests.sim.test_days import node_settings, virtual
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -10,11 +10,13 @@
 
 import cbor2
 
+from peathall.http.client import HttpClient, NoAnswerError
+from peathall.http.message import Request, Response
+from peathall.http.server import HttpServer
 from peathall.jobs.service import can_never_run
 from peathall.node import Node
 from peathall.settings import Operator, Settings
 from peathall.wire import body, names
-from peathall.wire.http import HttpClient, HttpServer, NoAnswerError, Request, Response
 from tests.sim.net import HOST, Host, VirtualLoop
 from tests.sim.state import State
 
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -11,7 +11,7 @@
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
 from peathall.fleet.service import Fleet
-from peathall.wire.http import NoAnswerError
+from peathall.http.client import NoAnswerError
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_fleet, new_workers, report
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -32,13 +32,13 @@
 from peathall.duties.status import DutiesStatus, DutyStatus
 from peathall.fleet.actions import CloudError, NoCapacityError, Rental
 from peathall.fleet.client import CloudClient
+from peathall.http.message import Request, Response
 from peathall.leadership.election import LeadValue, TermRecord
 from peathall.node import Node, user_response
 from peathall.operator_file import load_operator
 from peathall.settings import Operator
 from peathall.store import client as store
 from peathall.wire import names
-from peathall.wire.http import Request, Response
 from peathall.workers import delivery, probes
 
 CBOR, JSON = "application/cbor", "application/json"
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -14,6 +14,7 @@
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.fleet.service import Fleet
+from peathall.http.message import Request
 from peathall.leadership.lease import first_attempt, token
 from peathall.peers.service import Peers
 from peathall.placement.service import Placement
@@ -22,7 +23,6 @@
 from peathall.store.client import Item
 from peathall.store.writer import Writer
 from peathall.wire.body import json_size
-from peathall.wire.http import Request
 from peathall.wire.names import MachineType, Report, TaskReport, TaskState, Why, report_from_wire
 from peathall.workers.caches import Caches
 from peathall.workers.events import IgnoredEvents
