--- a/bench/cost.py
+++ b/bench/cost.py
@@ -17,12 +17,12 @@
 from peathall.cluster.job import AttemptPhase, Job
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.placement.service import Placement
 from peathall.protocol import codec
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.heartbeats import report_from_wire
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.workers.events import IgnoredEvents
 from peathall.workers.service import Workers
 
--- a/bench/larger.py
+++ b/bench/larger.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from peathall.cells.settings import CellSettings, Neighbour
-from peathall.settings import Operator
+from peathall.operator_config.settings import Operator
 from tests.sim.fleet_day import FleetPlayer
 from tests.sim.net import Host, MemoryTransport, VirtualLoop
 from tests.sim.test_days import virtual
--- a/bench/spill.py
+++ b/bench/spill.py
@@ -22,7 +22,7 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from peathall.settings import Operator
+from peathall.operator_config.settings import Operator
 from tests.sim.cells_world import LEASE_S, Cells
 from tests.sim.test_days import virtual
 
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -29,12 +29,12 @@
 )
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import Params
 from peathall.jobs import records
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.service import can_never_run
 from peathall.leadership.lease import LeadLease
 from peathall.protocol.jobs import JobSpec, spec_from_record, spec_to_record
-from peathall.settings import Params
 from peathall.store.client import ConflictError, Drop, Item, Put, StoreError
 from peathall.store.writer import Writer
 
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -36,14 +36,14 @@
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
+from peathall.config.modes import Mode
+from peathall.config.platform import Params
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.service import Answer, Jobs
 from peathall.leadership.election import TERM, TermRecord
-from peathall.modes import Mode
 from peathall.placement.limits import TeamLimits
 from peathall.placement.views import JobView, MachineView, Plan
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import Params
 from peathall.store.client import Item, Put, StateClient
 from peathall.store.writer import Writer
 
--- a/peathall/cells/settings.py
+++ b/peathall/cells/settings.py
@@ -6,8 +6,8 @@
 
 from msgspec import Meta, Struct
 
-from peathall.modes import Mode
-from peathall.setting_types import Address, Name
+from peathall.config.modes import Mode
+from peathall.config.types import Address, Name
 
 LeaseSeconds = Annotated[float, Meta(ge=3.0, le=600.0)]
 
--- a/peathall/cli.py
+++ b/peathall/cli.py
@@ -8,7 +8,9 @@
 import sys
 from typing import TYPE_CHECKING
 
-from peathall import __version__, settings
+from peathall import __version__
+from peathall.config.platform import SettingsError, load
+from peathall.operator_config.settings import Operator
 
 if TYPE_CHECKING:
     from peathall.node import Node
@@ -66,18 +68,18 @@
     )
     try:
         if level not in LEVELS:
-            raise settings.SettingsError(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}")
-        config = settings.load(args.config)
-        operator = settings.Operator()
+            raise SettingsError(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}")
+        config = load(args.config)
+        operator = Operator()
         if args.operator_config:
             # Imported here only: most controllers have no such file.
-            from peathall.operator_file import load_operator
+            from peathall.operator_config.file import load_operator
 
             operator = load_operator(args.operator_config)
             problem = operator.cells and operator.cells.problem(config.params.workers.lapse_s)
             if problem:
-                raise settings.SettingsError(f"{args.operator_config}: {problem}")
-    except settings.SettingsError as exc:
+                raise SettingsError(f"{args.operator_config}: {problem}")
+    except SettingsError as exc:
         print(f"peathall: {exc}", file=sys.stderr)
         return 2
     if args.check:
--- /dev/null
+++ b/peathall/config/__init__.py
@@ -0,0 +1,1 @@
+"""The settings file of the platform: sections, bounds, parsing."""
--- a/peathall/settings.py
+++ b/peathall/config/platform.py
@@ -10,10 +10,7 @@
 from msgspec import Meta, Struct, field
 
 from peathall import constants
-from peathall.cells.settings import CellSettings
-from peathall.duties.settings import DutySettings
-from peathall.modes import Mode
-from peathall.setting_types import Address, Name, NotNegative, Positive
+from peathall.config.types import Address, Name, NotNegative, Positive
 
 
 class SettingsError(Exception):
@@ -146,24 +143,6 @@
     peers: list[Peer] = field(name="known", default=[])
 
 
-class Operator(Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operators may set themselves; the defaults serve without a file."""
-
-    idle_hold_s: NotNegative | None = None
-    duties: DutySettings | None = None
-    cells: CellSettings | None = None
-
-    @property
-    def duty_mode(self) -> Mode:
-        """This controller's part in duties; without a section it has none."""
-        return self.duties.mode if self.duties is not None else Mode.OFF
-
-    @property
-    def cell_mode(self) -> Mode:
-        """This controller's part in cells; without a section it has none."""
-        return self.cells.mode if self.cells is not None else Mode.OFF
-
-
 def split_addr(addr: str) -> tuple[str, int]:
     """Host and port."""
     host, _, port = addr.rpartition(":")
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -15,6 +15,7 @@
 import msgspec
 
 from peathall import constants
+from peathall.config.platform import StateSettings
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.model import (
     ActAnswer,
@@ -26,7 +27,6 @@
 )
 from peathall.fleet.actions import CloudActions, CloudError, NoCapacityError
 from peathall.leadership.election import LEAD
-from peathall.settings import StateSettings
 from peathall.store.client import (
     ConflictError,
     Drop,
--- a/peathall/duties/gate.py
+++ b/peathall/duties/gate.py
@@ -8,9 +8,9 @@
 
 import logging
 
+from peathall.config.modes import Mode
 from peathall.duties.model import MARK
 from peathall.leadership.election import CampaignTerms
-from peathall.modes import Mode
 from peathall.store.client import Put, StateClient
 
 log = logging.getLogger("peathall.duties")
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -13,6 +13,8 @@
 import orjson
 
 from peathall import constants
+from peathall.config.modes import Mode
+from peathall.config.platform import Settings
 from peathall.duties.board import DutyBoard
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.delegate import DelegatedCloud
@@ -36,8 +38,6 @@
 from peathall.fleet.client import CloudClient
 from peathall.http.client import NoAnswerError
 from peathall.leadership.election import LEAD, LeadValue
-from peathall.modes import Mode
-from peathall.settings import Settings
 from peathall.store.client import ConflictError, Drop, Item, StateClient, StoreError
 from peathall.store.writer import Writer
 
--- a/peathall/duties/settings.py
+++ b/peathall/duties/settings.py
@@ -6,8 +6,8 @@
 
 from msgspec import Meta, Struct
 
+from peathall.config.modes import Mode
 from peathall.duties.model import Duty
-from peathall.modes import Mode
 
 LeaseSeconds = Annotated[float, Meta(ge=2.0, le=60.0)]
 
--- a/peathall/fleet/client.py
+++ b/peathall/fleet/client.py
@@ -8,6 +8,7 @@
 from urllib.parse import quote
 
 from peathall import constants
+from peathall.config.platform import CloudSettings
 from peathall.fleet.actions import CloudError, NoCapacityError, Rental
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
@@ -17,7 +18,6 @@
     listed_from_wire,
     machine_type_from_wire,
 )
-from peathall.settings import CloudSettings
 from peathall.store.budget import Budget
 
 
--- a/peathall/fleet/returns.py
+++ b/peathall/fleet/returns.py
@@ -10,10 +10,10 @@
 from peathall.cluster.job import JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import Params
 from peathall.fleet.boots import BootTimes
 from peathall.fleet.planner import offer_of, suits
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import Params
 from peathall.workers.health import MachineHealth
 
 log = logging.getLogger("peathall.fleet")
--- a/peathall/fleet/service.py
+++ b/peathall/fleet/service.py
@@ -12,6 +12,7 @@
 from peathall.cluster.job import JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import Params
 from peathall.fleet.account import Account
 from peathall.fleet.actions import CloudActions, CloudError, NoCapacityError, Rental
 from peathall.fleet.boots import BootTimes
@@ -26,7 +27,6 @@
     machine_type_from_wire,
     machine_type_to_wire,
 )
-from peathall.settings import Params
 from peathall.store.client import Put
 from peathall.store.writer import Writer
 from peathall.workers.service import Workers
--- a/peathall/jobs/service.py
+++ b/peathall/jobs/service.py
@@ -10,13 +10,13 @@
 from peathall import constants
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import Params
 from peathall.jobs import records
 from peathall.jobs.archive import JobArchive
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.remote import NothingRemote, RemoteRuns
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, Standing, job_status, spec_from_record, spec_to_record
-from peathall.settings import Params
 from peathall.store.client import Change as StoreChange
 from peathall.store.client import (
     ConflictError,
--- a/peathall/leader.py
+++ b/peathall/leader.py
@@ -13,18 +13,19 @@
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import Settings
 from peathall.fleet.client import CloudClient
 from peathall.fleet.service import TYPES, Fleet
 from peathall.jobs import records
 from peathall.jobs.service import NOT_NOW, Answer, Jobs
 from peathall.leadership.election import TERM, Mandate
 from peathall.leadership.lease import first_attempt
+from peathall.operator_config.settings import Operator
 from peathall.placement.rounds import ROUND
 from peathall.placement.service import Placement
 from peathall.placement.views import Plan
 from peathall.protocol.heartbeats import Report
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import Operator, Settings
 from peathall.store.client import StateClient, StoreError
 from peathall.store.writer import Writer, WriterPhase
 from peathall.workers.caches import CACHE, Caches
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -18,8 +18,8 @@
 from msgspec import Struct
 
 from peathall import constants
+from peathall.config.modes import Mode
 from peathall.leadership.lease import LeadLease
-from peathall.modes import Mode
 from peathall.store.client import (
     ConflictError,
     LeaseGoneError,
--- a/peathall/node.py
+++ b/peathall/node.py
@@ -15,6 +15,8 @@
 import orjson
 
 from peathall import constants
+from peathall.config.modes import Mode
+from peathall.config.platform import Settings, split_addr
 from peathall.duties.gate import DutyGate
 from peathall.duties.settings import DutySettings
 from peathall.fleet.client import CloudClient
@@ -27,13 +29,12 @@
 from peathall.jobs.service import NOT_NOW, Answer
 from peathall.leader import Leader
 from peathall.leadership.election import Election, Mandate
-from peathall.modes import Mode
+from peathall.operator_config.settings import Operator
 from peathall.peers.service import Peers
 from peathall.protocol import codec
 from peathall.protocol.cloud import machine_type_from_wire
 from peathall.protocol.heartbeats import report_from_wire, task_reports
 from peathall.protocol.jobs import JobSpec, job_from_wire, spec_from_record, spec_to_record
-from peathall.settings import Operator, Settings, split_addr
 from peathall.store.client import StateClient, StoreError
 
 if TYPE_CHECKING:
--- /dev/null
+++ b/peathall/operator_config/__init__.py
@@ -0,0 +1,1 @@
+"""The operators' own settings, and the file that holds them."""
--- a/peathall/operator_file.py
+++ b/peathall/operator_config/file.py
@@ -22,7 +22,8 @@
 )
 from google.protobuf.message import Message
 
-from peathall.settings import Operator, SettingsError
+from peathall.config.platform import SettingsError
+from peathall.operator_config.settings import Operator
 
 PACKAGE = "peathall"
 Field = descriptor_pb2.FieldDescriptorProto
--- a/peathall/peers/service.py
+++ b/peathall/peers/service.py
@@ -10,9 +10,9 @@
 import orjson
 
 from peathall import constants
+from peathall.config.platform import Peer
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.http.message import Request, Response
-from peathall.settings import Peer
 
 log = logging.getLogger("peathall.peers")
 
--- a/peathall/placement/limits.py
+++ b/peathall/placement/limits.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Mapping, Sequence
 
+from peathall.config.platform import Team
 from peathall.placement.views import EPS
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import Team
 
 
 class TeamLimits:
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -12,9 +12,9 @@
 from zlib import crc32
 
 from peathall import constants
+from peathall.config.platform import Objective
 from peathall.placement.views import JobView, MachineView
 from peathall.protocol.jobs import JobSpec, Priority
-from peathall.settings import Objective
 
 
 def rank(machine: MachineView, spec: JobSpec, keep_ordinary: bool, seed: int) -> tuple[float, ...]:
--- a/peathall/placement/planner.py
+++ b/peathall/placement/planner.py
@@ -4,6 +4,7 @@
 
 from collections.abc import Iterator, Sequence
 
+from peathall.config.platform import Team
 from peathall.placement.limits import TeamLimits
 from peathall.placement.ordering import order
 from peathall.placement.pool import MachinePool
@@ -11,7 +12,6 @@
 from peathall.placement.room import choose
 from peathall.placement.views import JobView, MachineView, Move, Plan, Start, TeamWork
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import Team
 
 
 class Round:
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -13,13 +13,13 @@
 from peathall.cluster.job import Attempt, AttemptPhase, JobPhase, Trust
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import Params
 from peathall.placement.bookings import Booking, Bookings
 from peathall.placement.planner import Round
 from peathall.placement.rounds import Piece, RoundRecords, joined_by_gangs
 from peathall.placement.snapshot import Snapshot
 from peathall.placement.views import MachineView, Move, Plan, Start
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import Params
 from peathall.store.client import StoreError
 from peathall.store.writer import Offers, Writer
 from peathall.workers.service import Workers
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -8,6 +8,7 @@
 from peathall.cluster.job import Attempt, Job, JobPhase, Trust
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import Params
 from peathall.placement.bookings import Bookings
 from peathall.placement.ordering import gathering_s, latest_start
 from peathall.placement.views import (
@@ -19,7 +20,6 @@
     Victim,
 )
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import Params
 from peathall.workers.service import Workers
 
 
--- a/peathall/status_command.py
+++ b/peathall/status_command.py
@@ -13,7 +13,8 @@
 import msgspec
 import orjson
 
-from peathall import constants, settings
+from peathall import constants
+from peathall.config.platform import SettingsError, load
 from peathall.http.client import HttpClient, NoAnswerError
 
 S = TypeVar("S", bound=msgspec.Struct)
@@ -64,8 +65,8 @@
         addresses = args.controller
         if addresses is None:
             try:
-                config = settings.load(args.config)
-            except settings.SettingsError as exc:
+                config = load(args.config)
+            except SettingsError as exc:
                 print(f"peathall: {exc}", file=sys.stderr)
                 return 2
             addresses = [config.peer_listen, *(peer.addr for peer in config.peers)]
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -10,9 +10,9 @@
 from msgspec import Struct
 
 from peathall import constants
+from peathall.config.platform import StateSettings
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
-from peathall.settings import StateSettings
 from peathall.store.budget import Budget
 
 
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -20,8 +20,8 @@
 from typing import Any, Protocol
 
 from peathall import constants
+from peathall.config.platform import StateSettings
 from peathall.protocol.codec import json_size
-from peathall.settings import StateSettings
 from peathall.store.client import (
     ConflictError,
     Drop,
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -8,7 +8,7 @@
 from peathall import constants
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
-from peathall.settings import WorkerSettings
+from peathall.config.platform import WorkerSettings
 
 log = logging.getLogger("peathall.workers")
 
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -12,6 +12,7 @@
 from peathall.cluster.job import Attempt, AttemptPhase, Job, JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import WorkerSettings
 from peathall.leadership.lease import token
 from peathall.protocol.heartbeats import (
     Report,
@@ -24,7 +25,6 @@
     start_order,
     stop_order,
 )
-from peathall.settings import WorkerSettings
 from peathall.workers.delivery import DirectDelivery
 from peathall.workers.events import WorkerListener
 from peathall.workers.exits import ExitedAttempt, ExitedAttempts, ExitKey
--- a/tests/sim/cells_world.py
+++ b/tests/sim/cells_world.py
@@ -7,9 +7,9 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from peathall import settings
 from peathall.cells.settings import CellSettings, Neighbour
-from peathall.settings import Operator
+from peathall.config.platform import Settings, parse
+from peathall.operator_config.settings import Operator
 from tests.sim.net import Host, VirtualLoop
 from tests.sim.sites import node_text, node_text_with_next_limits
 from tests.sim.test_days import draw_job, mute, virtual
@@ -35,11 +35,11 @@
     )
 
 
-def cell_settings(cell: int, size: int = 3, next_limits: bool = False) -> list[settings.Settings]:
+def cell_settings(cell: int, size: int = 3, next_limits: bool = False) -> list[Settings]:
     make = node_text_with_next_limits if next_limits else node_text
     texts = [make(index, size) for index in range(size)]
     return [
-        settings.parse(text.replace("10.0.0.", f"10.0.{cell}.").replace("10.2.0.", f"10.2.{cell}."))
+        parse(text.replace("10.0.0.", f"10.0.{cell}.").replace("10.2.0.", f"10.2.{cell}."))
         for text in texts
     ]
 
--- a/tests/sim/fleet_day.py
+++ b/tests/sim/fleet_day.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from peathall import settings
+from peathall.config.platform import CloudSettings, Limits, Settings, Team, WorkerSettings
 from tests.sim.net import VirtualLoop
 from tests.sim.sites import node_settings
 from tests.sim.test_days import draw_job
@@ -34,22 +34,20 @@
     broken: list[str] = field(default_factory=list)
 
 
-def fleet_settings(
-    report_s: float, controllers: int = 3, cpu_share: float = 1.0
-) -> list[settings.Settings]:
+def fleet_settings(report_s: float, controllers: int = 3, cpu_share: float = 1.0) -> list[Settings]:
     """A site whose teams have no limits, with the smallest machines that a site has. Workers'
     times are all in proportion to their reports."""
     replace = msgspec.structs.replace
     plain = [node_settings(i, controllers) for i in range(controllers)]
-    limits = settings.Limits(cpu_share, 146.0, 800)
-    cloud = settings.CloudSettings(4.0, 4.0)
-    workers = settings.WorkerSettings(report_s, 4 * report_s, 7 * report_s, 4.0, 9 * report_s)
+    limits = Limits(cpu_share, 146.0, 800)
+    cloud = CloudSettings(4.0, 4.0)
+    workers = WorkerSettings(report_s, 4 * report_s, 7 * report_s, 4.0, 9 * report_s)
     return [
         replace(
             s,
             params=replace(
                 s.params,
-                teams=[settings.Team("blue")],
+                teams=[Team("blue")],
                 machine_limits=limits,
                 cloud=cloud,
                 workers=workers,
--- a/tests/sim/sites.py
+++ b/tests/sim/sites.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from peathall import settings
+from peathall.config.platform import Settings, parse
 
 _NODE = """
 member = "hall-{i}"
@@ -65,6 +65,6 @@
     return node_text(index, size).replace("[params.cloud]", limits + "[params.cloud]")
 
 
-def node_settings(index: int, size: int = 3) -> settings.Settings:
+def node_settings(index: int, size: int = 3) -> Settings:
     """The settings as the service reads them."""
-    return settings.parse(node_text(index, size))
+    return parse(node_text(index, size))
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -15,8 +15,8 @@
 from peathall.cells.model import BorrowedItem, BorrowPhase, Heartbeat, Ruling, Verdict
 from peathall.cells.service import CellLeader, HttpAnswer
 from peathall.cells.settings import CellSettings
-from peathall.modes import Mode
-from peathall.settings import Operator
+from peathall.config.modes import Mode
+from peathall.operator_config.settings import Operator
 from tests.sim import production
 from tests.sim.cells_world import LEASE_S, Cells, play
 from tests.sim.sites import node_text
--- a/tests/sim/test_cells_command.py
+++ b/tests/sim/test_cells_command.py
@@ -13,10 +13,10 @@
 from peathall import cli
 from peathall.cells.model import Heartbeat, Offer, to_value
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
+from peathall.config.modes import Mode
 from peathall.http.client import HttpClient
 from peathall.http.message import Request, Response
-from peathall.modes import Mode
-from peathall.operator_file import load_operator
+from peathall.operator_config.file import load_operator
 from tests.sim.cells_world import Cells, gang, play
 from tests.sim.net import Host
 from tests.sim.test_duties_command import check_refuses, controller
--- a/tests/sim/test_days.py
+++ b/tests/sim/test_days.py
@@ -13,7 +13,7 @@
 import msgspec
 import pytest
 
-from peathall import settings
+from peathall.config.platform import Team
 from peathall.http.client import HttpClient, NoAnswerError
 from tests.sim.net import Host, VirtualLoop
 from tests.sim.sites import node_settings
@@ -253,7 +253,7 @@
     with virtual(21) as loop:
         replace = msgspec.structs.replace
         plain = [node_settings(i) for i in range(3)]
-        teams = [settings.Team("blue")]  # without limits
+        teams = [Team("blue")]  # without limits
         world = World(loop, 21, [replace(s, params=replace(s.params, teams=teams)) for s in plain])
         world.capacity = 900
 
@@ -351,7 +351,7 @@
         replace = msgspec.structs.replace
         plain = [node_settings(i) for i in range(3)]
         store = replace(plain[0].params.state, rps=80.0, write_rps=15.0)
-        teams = [settings.Team("blue")]
+        teams = [Team("blue")]
         params = [replace(s.params, state=store, teams=teams) for s in plain]
         world = World(loop, 41, [replace(s, params=p) for s, p in zip(plain, params, strict=True)])
         world.capacity = 12
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -10,12 +10,12 @@
 
 import pytest
 
-from peathall import settings
+from peathall.config.modes import Mode
+from peathall.config.platform import parse
 from peathall.duties.model import ActAnswer, ActRequest, Deletion, Duty, DutyPhase, Outcome
 from peathall.duties.settings import DutySettings
 from peathall.fleet.actions import CloudError, Rental
-from peathall.modes import Mode
-from peathall.settings import Operator
+from peathall.operator_config.settings import Operator
 from peathall.store.writer import Transaction, Writer
 from tests.sim import production
 from tests.sim.duty_history import DutyHistory
@@ -336,7 +336,7 @@
     """To the smallest sizes that a site may have, as the settings say they will some day."""
 
     async def day(world: World, history: DutyHistory) -> None:
-        world.settings = [settings.parse(node_text_with_next_limits(i)) for i in range(3)]
+        world.settings = [parse(node_text_with_next_limits(i)) for i in range(3)]
         world.state.slow = 0.2
         await settled(world)
         done = [submit(world, number) for number in range(1, 9)]
--- a/tests/sim/test_duties_command.py
+++ b/tests/sim/test_duties_command.py
@@ -13,13 +13,13 @@
 import pytest
 
 from peathall import cli
+from peathall.config.modes import Mode
+from peathall.config.platform import SettingsError
 from peathall.duties.model import Duty
 from peathall.duties.status import describe
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
-from peathall.modes import Mode
-from peathall.operator_file import load_operator
-from peathall.settings import SettingsError
+from peathall.operator_config.file import load_operator
 from peathall.store.client import Item
 from tests.unit.test_settings import TEXT
 
--- a/tests/sim/test_http.py
+++ b/tests/sim/test_http.py
@@ -15,8 +15,8 @@
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
 from peathall.node import Node
+from peathall.operator_config.settings import Operator
 from peathall.protocol.heartbeats import Report
-from peathall.settings import Operator
 from tests.sim.net import HOST, Host, VirtualLoop
 from tests.sim.test_days import node_settings, virtual
 
--- a/tests/sim/test_limits_fall.py
+++ b/tests/sim/test_limits_fall.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from peathall import settings
+from peathall.config.platform import parse
 from tests.sim.sites import node_settings, node_text, node_text_with_next_limits
 from tests.sim.test_combined_failures import FaultInjector, daemon, longer, watch
 from tests.sim.test_days import draw_job, virtual
@@ -114,7 +114,7 @@
     with virtual(SEED) as loop:
         plain = [node_settings(i) for i in range(3)]
         texts = [node_text_with_next_limits(i, write_rps=write_rps) for i in range(3)]
-        known = [settings.parse(text) for text in texts]
+        known = [parse(text) for text in texts]
         world = World(loop, SEED, known if told else plain)
         world.state.limits = (200.0, 60.0)
         world.state.slow = 0.3  # so that much is written together
@@ -207,7 +207,7 @@
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(SEED) as loop:
         texts = [node_text(i).replace("write_rps = 60.0", "write_rps = 3.0") for i in range(3)]
-        world = World(loop, SEED, [settings.parse(text) for text in texts])
+        world = World(loop, SEED, [parse(text) for text in texts])
         world.state.slow = 0.3  # so that much is written together
         largest: list[int] = []
 
--- a/tests/sim/test_upgrade.py
+++ b/tests/sim/test_upgrade.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from peathall import settings
+from peathall.config.platform import parse
 from tests.sim import production
 from tests.sim.sites import node_text_with_next_limits
 from tests.sim.test_combined_failures import FaultInjector, daemon, longer, watch
@@ -29,7 +29,7 @@
 ) -> World:
     """All controllers are of the version in production, or of that of a commit."""
     texts = [node_text_with_next_limits(i, size) for i in range(size)]
-    world = World(loop, seed, [settings.parse(text) for text in texts])
+    world = World(loop, seed, [parse(text) for text in texts])
     world.state.limits = (200.0, 60.0)
     before = commit or production.recorded()
     for i in range(size):
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -13,10 +13,10 @@
 from peathall.cells.model import RoomRow
 from peathall.cells.room import fits_whole, summarize
 from peathall.cells.spill import Backoff, SpillRule, expected_wait_s
+from peathall.config.platform import Objective
 from peathall.leadership.lease import LeadLease
 from peathall.placement.views import Detail, JobView, MachineView, Victim
 from peathall.protocol.jobs import JobSpec, job_from_wire
-from peathall.settings import Objective
 from tests.sim.cells_world import gang
 
 
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -9,12 +9,12 @@
 
 from peathall.cluster.job import JobPhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.jobs import records
 from peathall.jobs.service import Jobs, can_never_run
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
 from peathall.protocol.jobs import Standing, job_status, spec_to_record
-from peathall.settings import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.store.client import Put
 from peathall.store.writer import LeadRecord, Writer
 from tests.unit.test_planner import spec
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -5,6 +5,7 @@
 import random
 from collections import Counter
 
+from peathall.config.platform import Objective, Team
 from peathall.fleet.planner import Bin, Offer, plan_rentals
 from peathall.placement.ordering import latest_start
 from peathall.placement.planner import Round, make_plan
@@ -20,7 +21,6 @@
 )
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec
-from peathall.settings import Objective, Team
 
 
 def spec(**changes: object) -> JobSpec:
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -19,13 +19,13 @@
 import orjson
 import pytest
 
-from peathall import settings as settings_file
 from peathall.cells import model as cells
 from peathall.cells.client import CellClient
 from peathall.cells.service import CellLeader
 from peathall.cells.settings import Neighbour
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.cluster.machine import Machine, MachinePhase
+from peathall.config.platform import parse
 from peathall.duties import model as duties
 from peathall.duties.service import Duties
 from peathall.duties.settings import DutySettings
@@ -35,7 +35,8 @@
 from peathall.http.message import Request, Response
 from peathall.leadership.election import LeadValue, TermRecord
 from peathall.node import Node, user_response
-from peathall.operator_file import load_operator
+from peathall.operator_config.file import load_operator
+from peathall.operator_config.settings import Operator
 from peathall.protocol.cloud import machine_type_from_wire, machine_type_to_wire
 from peathall.protocol.heartbeats import (
     checkin_answer,
@@ -45,7 +46,6 @@
     stop_order,
 )
 from peathall.protocol.jobs import Standing, job_status, spec_to_record
-from peathall.settings import Operator
 from peathall.store import client as store
 from peathall.workers import delivery, probes
 
@@ -136,7 +136,7 @@
 
 
 def new_node(leader: CannedLeader | None = None, operator: Operator | None = None) -> Any:
-    node: Any = Node(settings_file.parse(SETTINGS), operator or Operator(), lambda: 5.0)
+    node: Any = Node(parse(SETTINGS), operator or Operator(), lambda: 5.0)
     node.assemble()
     node.leader = leader
     return node
@@ -181,14 +181,14 @@
 
 
 def new_state_client(http: RecordedHttp) -> Any:
-    limits = settings_file.parse(SETTINGS).params.state
+    limits = parse(SETTINGS).params.state
     client: Any = store.StateClient("10.9.0.1:2", limits, 2)
     client.http = client.watch_http = http
     return client
 
 
 def new_cloud_client(http: RecordedHttp) -> Any:
-    limits = settings_file.parse(SETTINGS).params.cloud
+    limits = parse(SETTINGS).params.cloud
     client: Any = CloudClient("10.9.0.1:1", limits, lambda: True)
     client.http = http
     return client
@@ -205,7 +205,7 @@
     stub: Any = MagicMock()
     stub.term, stub.types = 4, {}
     operator = cells_operator()
-    params = settings_file.parse(SETTINGS).params
+    params = parse(SETTINGS).params
     leader: Any = CellLeader(
         operator.cells, stub, params, stub, stub, stub, stub, lambda: 0.0,
         lambda: True, lambda: True, random.Random(1),
@@ -215,7 +215,7 @@
 
 def new_duties(state: RecordedHttp, send: Any) -> Any:
     return Duties(
-        settings_file.parse(SETTINGS), DutySettings(), new_state_client(state), send,
+        parse(SETTINGS), DutySettings(), new_state_client(state), send,
         lambda: True, lambda: 5.0, random.Random(1),
     )  # fmt: skip
 
@@ -333,7 +333,7 @@
 
 
 def test_platform_settings_with_every_field() -> None:
-    read = settings_file.parse(SETTINGS)
+    read = parse(SETTINGS)
     assert msgspec.to_builtins(read) == SETTINGS_READ
     assert (read.name, read.zone, read.listen, read.peer_listen) == (
         "hall-0", "a", "10.0.0.1:8080", "10.0.0.1:8081",
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -11,11 +11,11 @@
 from peathall.cluster.job import AttemptPhase, Job
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import StateSettings
 from peathall.leadership.lease import first_attempt
 from peathall.placement.rounds import ROUND, RoundRecords, from_record
 from peathall.placement.views import Plan, Start
 from peathall.protocol.codec import json_size
-from peathall.settings import StateSettings
 from peathall.store.client import InvalidError, Item
 from peathall.store.writer import Writer
 from peathall.workers.service import Workers
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from peathall import cli, settings
-from peathall.operator_file import load_operator
+from peathall import cli
+from peathall.config.platform import SettingsError, parse
+from peathall.operator_config.file import load_operator
 
 TEXT = """
 member = "hall-0"
@@ -50,7 +51,7 @@
 
 
 def test_good_settings_are_read() -> None:
-    config = settings.parse(TEXT)
+    config = parse(TEXT)
     assert config.name == "hall-0"
     assert config.peers[0].addr == "127.0.0.1:8082"
     assert config.params.teams[0].gpus == 8.0
@@ -90,10 +91,10 @@
     path.write_text('fields { key: "idle_hold_s" value { number_value: 30 } }\n')
     assert load_operator(str(path)).idle_hold_s == 30.0
     path.write_text('fields { key: "idle_hold_s" value { number_value: -1 } }\n')
-    with pytest.raises(settings.SettingsError):
+    with pytest.raises(SettingsError):
         load_operator(str(path))
     path.write_text("not { this")
-    with pytest.raises(settings.SettingsError):
+    with pytest.raises(SettingsError):
         load_operator(str(path))
 
 
@@ -109,18 +110,18 @@
     longer than a cancellation has, the promise could not be kept."""
     wrong = TEXT.replace("cancel_s = 42.0", "cancel_s = 23.0")
     assert wrong != TEXT
-    with pytest.raises(settings.SettingsError, match=r"cancel_s: 23 must be more than 23\.022"):
-        settings.parse(wrong)
-    settings.parse(TEXT.replace("cancel_s = 42.0", "cancel_s = 23.1"))
+    with pytest.raises(SettingsError, match=r"cancel_s: 23 must be more than 23\.022"):
+        parse(wrong)
+    parse(TEXT.replace("cancel_s = 42.0", "cancel_s = 23.1"))
 
 
 def test_the_least_of_the_limits_now_and_next_holds_from_the_start() -> None:
     """They fall without notice: a value or a transaction that is too large then is refused."""
     more = TEXT.replace("txn_ops = 16\n", "txn_ops = 16\n[params.state.next]\nvalue_kb = 2.0\n")
-    state = settings.parse(more).params.state
+    state = parse(more).params.state
     assert (state.value_kb, state.txn_ops, state.write_rps) == (2.0, 16, 50.0)
     both = more.replace("value_kb = 2.0\n", "value_kb = 99.0\ntxn_ops = 4\nwrite_rps = 15.0\n")
-    state = settings.parse(both).params.state
+    state = parse(both).params.state
     assert (state.value_kb, state.txn_ops, state.write_rps) == (16.0, 4, 15.0)
-    with pytest.raises(settings.SettingsError, match=r"next\.txn_ops"):
-        settings.parse(both.replace("txn_ops = 4\n", "txn_ops = 0\n"))
+    with pytest.raises(SettingsError, match=r"next\.txn_ops"):
+        parse(both.replace("txn_ops = 4\n", "txn_ops = 0\n"))
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -8,12 +8,12 @@
 import pytest
 
 from peathall.cluster.ranges import Ranges
+from peathall.config.platform import StateSettings
 from peathall.jobs.fallback import Fallback
 from peathall.jobs.records import DONE, block_tasks, done_key, done_record, to_value
 from peathall.leadership.lease import LeadLease, first_attempt, token
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
 from peathall.protocol.codec import json_size
-from peathall.settings import StateSettings
 from peathall.store.budget import Budget
 from peathall.store.client import Change as StoreChange
 from peathall.store.client import (
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -23,6 +23,7 @@
 from peathall.cells.model import BorrowPhase, HandoffPhase, Offer, OfferAnswer, Ruling, Verdict
 from peathall.cluster.job import Job, Trust
 from peathall.cluster.machine import Machine, MachinePhase
+from peathall.config.modes import Mode
 from peathall.duties.board import DutyBoard
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.executor import DutyExecutor
@@ -35,7 +36,6 @@
 from peathall.jobs.service import Jobs
 from peathall.leadership.election import Election, Mandate
 from peathall.leadership.lease import LeadLease, first_attempt
-from peathall.modes import Mode
 from peathall.placement.rounds import RoundRecords
 from peathall.placement.views import Start
 from peathall.protocol.cloud import MachineType
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -13,6 +13,14 @@
 from peathall.cluster.job import Attempt, AttemptPhase, Job, JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
+from peathall.config.platform import (
+    CloudSettings,
+    Params,
+    Peer,
+    StateSettings,
+    Team,
+    WorkerSettings,
+)
 from peathall.fleet.service import Fleet
 from peathall.http.message import Request
 from peathall.leadership.lease import first_attempt, token
@@ -22,7 +30,6 @@
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
 from peathall.protocol.heartbeats import Report, TaskReport, TaskState, Why, report_from_wire
-from peathall.settings import CloudSettings, Params, Peer, StateSettings, Team, WorkerSettings
 from peathall.store.client import Item
 from peathall.store.writer import Writer
 from peathall.workers.caches import Caches
