--- a/peathall/fleet/service.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -9,16 +9,16 @@
 from typing import Any
 
 from peathall import constants
+from peathall.autoscaling.actions import CloudActions, CloudError, NoCapacityError, Rental
+from peathall.autoscaling.provider_client import CloudClient
+from peathall.autoscaling.scale_in import Returns, Shortage
+from peathall.autoscaling.scale_out import Bin, Offer, all_offers, offer_of, plan_rentals
+from peathall.autoscaling.startup_times import BootTimes
+from peathall.autoscaling.usage import Account
 from peathall.cluster.job import JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
-from peathall.fleet.account import Account
-from peathall.fleet.actions import CloudActions, CloudError, NoCapacityError, Rental
-from peathall.fleet.boots import BootTimes
-from peathall.fleet.client import CloudClient
-from peathall.fleet.planner import Bin, Offer, all_offers, offer_of, plan_rentals
-from peathall.fleet.returns import Returns, Shortage
 from peathall.placement.views import JobView, Plan
 from peathall.protocol import codec
 from peathall.protocol.cloud import (
--- a/peathall/fleet/client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -8,8 +8,8 @@
 from urllib.parse import quote
 
 from peathall import constants
+from peathall.autoscaling.actions import CloudError, NoCapacityError, Rental
 from peathall.config.platform import CloudSettings
-from peathall.fleet.actions import CloudError, NoCapacityError, Rental
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
 from peathall.protocol.cloud import (
--- a/peathall/fleet/returns.py
+++ b/peathall/autoscaling/scale_in.py
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 
 from peathall import constants
+from peathall.autoscaling.scale_out import offer_of, suits
+from peathall.autoscaling.startup_times import BootTimes
 from peathall.cluster.job import JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
-from peathall.fleet.boots import BootTimes
-from peathall.fleet.planner import offer_of, suits
 from peathall.protocol.jobs import JobSpec
 from peathall.workers.health import MachineHealth
 
--- a/peathall/duties/delegate.py
+++ b/peathall/duties/delegate.py
@@ -7,8 +7,8 @@
 from collections.abc import Awaitable, Callable
 
 from peathall import constants
+from peathall.autoscaling.actions import CloudError, NoCapacityError, Rental
 from peathall.duties.model import ActAnswer, ActRequest, Deletion, Duty, HolderRecord, Outcome
-from peathall.fleet.actions import CloudError, NoCapacityError, Rental
 
 log = logging.getLogger("peathall.duties")
 
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -15,6 +15,7 @@
 import msgspec
 
 from peathall import constants
+from peathall.autoscaling.actions import CloudActions, CloudError, NoCapacityError
 from peathall.config.platform import StateSettings
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.model import (
@@ -25,7 +26,6 @@
     Outcome,
     to_value,
 )
-from peathall.fleet.actions import CloudActions, CloudError, NoCapacityError
 from peathall.leadership.election import LEAD
 from peathall.store.client import (
     ConflictError,
--- a/peathall/duties/model.py
+++ b/peathall/duties/model.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-from peathall.fleet.actions import Rental
+from peathall.autoscaling.actions import Rental
 
 PREFIX = "duties/"
 MARK = "duties/on"
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -13,6 +13,7 @@
 import orjson
 
 from peathall import constants
+from peathall.autoscaling.provider_client import CloudClient
 from peathall.config.modes import Mode
 from peathall.config.platform import Settings
 from peathall.duties.board import DutyBoard
@@ -35,7 +36,6 @@
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, describe
 from peathall.duties.writes import DelegatedWrites
-from peathall.fleet.client import CloudClient
 from peathall.http.client import NoAnswerError
 from peathall.leadership.election import LEAD, LeadValue
 from peathall.store.client import ConflictError, Drop, Item, StateClient, StoreError
--- a/peathall/fleet/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Slice `fleet`: renting machines from the cloud and returning them."""
--- a/peathall/leader.py
+++ b/peathall/leader.py
@@ -10,12 +10,12 @@
 from typing import TYPE_CHECKING, Any
 
 from peathall import constants
+from peathall.autoscaling.autoscaler import TYPES, Fleet
+from peathall.autoscaling.provider_client import CloudClient
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Settings
-from peathall.fleet.client import CloudClient
-from peathall.fleet.service import TYPES, Fleet
 from peathall.jobs import records
 from peathall.jobs.service import NOT_NOW, Answer, Jobs
 from peathall.leadership.election import TERM, Mandate
--- a/peathall/node.py
+++ b/peathall/node.py
@@ -15,12 +15,12 @@
 import orjson
 
 from peathall import constants
+from peathall.autoscaling.autoscaler import TYPES
+from peathall.autoscaling.provider_client import CloudClient
 from peathall.config.modes import Mode
 from peathall.config.platform import Settings, split_addr
 from peathall.duties.gate import DutyGate
 from peathall.duties.settings import DutySettings
-from peathall.fleet.client import CloudClient
-from peathall.fleet.service import TYPES
 from peathall.http.client import NoAnswerError
 from peathall.http.message import Request, Response
 from peathall.http.request_queue import Rank, Turns
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -10,11 +10,11 @@
 
 import pytest
 
+from peathall.autoscaling.actions import CloudError, Rental
 from peathall.config.modes import Mode
 from peathall.config.platform import parse
 from peathall.duties.model import ActAnswer, ActRequest, Deletion, Duty, DutyPhase, Outcome
 from peathall.duties.settings import DutySettings
-from peathall.fleet.actions import CloudError, Rental
 from peathall.operator_config.settings import Operator
 from peathall.store.writer import Transaction, Writer
 from tests.sim import production
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from peathall import constants
+from peathall.autoscaling.autoscaler import list_gap_s
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import StateSettings
-from peathall.fleet.service import list_gap_s
 from peathall.protocol.decode_cache import RecentlyRead
 from peathall.store.client import Put
 from peathall.store.writer import Writer
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable, Callable
 
 from peathall import constants
+from peathall.autoscaling.actions import CloudError, Rental
+from peathall.autoscaling.autoscaler import Fleet
 from peathall.cluster.machine import Machine, MachinePhase
-from peathall.fleet.actions import CloudError, Rental
-from peathall.fleet.service import Fleet
 from peathall.placement.views import JobView
 from peathall.protocol.cloud import ListedMachine
 from peathall.workers.service import Workers
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -5,8 +5,8 @@
 import random
 from collections import Counter
 
+from peathall.autoscaling.scale_out import Bin, Offer, plan_rentals
 from peathall.config.platform import Objective, Team
-from peathall.fleet.planner import Bin, Offer, plan_rentals
 from peathall.placement.ordering import latest_start
 from peathall.placement.planner import Round, make_plan
 from peathall.placement.pool import MachinePool
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -8,9 +8,9 @@
 
 import pytest
 
+from peathall.autoscaling.autoscaler import Fleet
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
-from peathall.fleet.service import Fleet
 from peathall.http.client import NoAnswerError
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -19,6 +19,8 @@
 import orjson
 import pytest
 
+from peathall.autoscaling.actions import CloudError, NoCapacityError, Rental
+from peathall.autoscaling.provider_client import CloudClient
 from peathall.cells import model as cells
 from peathall.cells.client import CellClient
 from peathall.cells.service import CellLeader
@@ -30,8 +32,6 @@
 from peathall.duties.service import Duties
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, DutyStatus
-from peathall.fleet.actions import CloudError, NoCapacityError, Rental
-from peathall.fleet.client import CloudClient
 from peathall.http.message import Request, Response
 from peathall.leadership.election import LeadValue, TermRecord
 from peathall.node import Node, user_response
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -18,6 +18,7 @@
 import pytest
 
 from peathall import constants
+from peathall.autoscaling.actions import Rental
 from peathall.cells.borrower import BorrowedJobs
 from peathall.cells.home import HomeHandoffs
 from peathall.cells.model import BorrowPhase, HandoffPhase, Offer, OfferAnswer, Ruling, Verdict
@@ -30,7 +31,6 @@
 from peathall.duties.gate import DutyGate
 from peathall.duties.model import ActRequest, Deletion, Duty, HolderRecord
 from peathall.duties.status import describe
-from peathall.fleet.actions import Rental
 from peathall.jobs.fallback import Fallback
 from peathall.jobs.live import Live
 from peathall.jobs.service import Jobs
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -10,6 +10,7 @@
 import orjson
 
 from peathall import constants
+from peathall.autoscaling.autoscaler import Fleet
 from peathall.cluster.job import Attempt, AttemptPhase, Job, JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
@@ -21,7 +22,6 @@
     Team,
     WorkerSettings,
 )
-from peathall.fleet.service import Fleet
 from peathall.http.message import Request
 from peathall.leadership.lease import first_attempt, token
 from peathall.peers.service import Peers
