--- /dev/null
+++ b/peathall/leader/__init__.py
@@ -0,0 +1,1 @@
+"""One term of a leader: its slices, wired over one ClusterState."""
--- a/peathall/node.py
+++ b/peathall/node.py
@@ -27,7 +27,7 @@
 from peathall.http.server import HttpServer
 from peathall.jobs.fallback import Fallback
 from peathall.jobs.service import NOT_NOW, Answer
-from peathall.leader import Leader
+from peathall.leader.term import Leader
 from peathall.leadership.election import Election, Mandate
 from peathall.operator_config.settings import Operator
 from peathall.peers.service import Peers
