--- a/peathall/cli.py
+++ b/peathall/cli.py
@@ -13,7 +13,7 @@
 from peathall.operator_config.settings import Operator
 
 if TYPE_CHECKING:
-    from peathall.node import Node
+    from peathall.controller.controller import Node
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -87,7 +87,7 @@
         return 0
     import asyncio
 
-    from peathall.node import Node
+    from peathall.controller.controller import Node
 
     try:
         asyncio.run(serve(Node(config, operator)))
--- /dev/null
+++ b/peathall/controller/__init__.py
@@ -0,0 +1,1 @@
+"""One controller: listeners, routes, and its part in the election."""
--- a/tests/sim/test_http.py
+++ b/tests/sim/test_http.py
@@ -11,10 +11,10 @@
 import msgspec
 
 from peathall import constants
+from peathall.controller.controller import Node
 from peathall.http.client import HttpClient
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
-from peathall.node import Node
 from peathall.operator_config.settings import Operator
 from peathall.protocol.heartbeats import Report
 from tests.sim.net import HOST, Host, VirtualLoop
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -11,11 +11,11 @@
 import cbor2
 
 from peathall.config.platform import Settings
+from peathall.controller.controller import Node
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
 from peathall.jobs.service import can_never_run
-from peathall.node import Node
 from peathall.operator_config.settings import Operator
 from peathall.protocol import codec
 from peathall.protocol.cloud import machine_type_from_wire
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -28,13 +28,13 @@
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.config.platform import parse
+from peathall.controller.controller import Node, user_response
 from peathall.duties import model as duties
 from peathall.duties.service import Duties
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, DutyStatus
 from peathall.http.message import Request, Response
 from peathall.leadership.election import LeadValue, TermRecord
-from peathall.node import Node, user_response
 from peathall.operator_config.file import load_operator
 from peathall.operator_config.settings import Operator
 from peathall.protocol.cloud import machine_type_from_wire, machine_type_to_wire
