--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -18,7 +18,7 @@
     listed_from_wire,
     machine_type_from_wire,
 )
-from peathall.store.budget import Budget
+from peathall.store.token_bucket import Budget
 
 
 class CloudClient:
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -41,7 +41,7 @@
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.service import Answer, Jobs
 from peathall.leadership.election import TERM, TermRecord
-from peathall.placement.limits import TeamLimits
+from peathall.placement.quotas import TeamLimits
 from peathall.placement.views import JobView, MachineView, Plan
 from peathall.protocol.jobs import JobSpec
 from peathall.store.client import Item, Put, StateClient
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -17,7 +17,7 @@
 from peathall.cells.model import RoomRow
 from peathall.cells.room import fits_whole
 from peathall.config.platform import Objective
-from peathall.placement.room import free_in
+from peathall.placement.capacity import free_in
 from peathall.placement.views import JobView, MachineView, allowed
 from peathall.protocol.jobs import JobSpec, Priority
 
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -25,7 +25,7 @@
 from peathall.http.message import Request, Response
 from peathall.http.request_queue import Rank, Turns
 from peathall.http.server import HttpServer
-from peathall.jobs.fallback import Fallback
+from peathall.jobs.follower import Fallback
 from peathall.jobs.service import NOT_NOW, Answer
 from peathall.leader.term import Leader
 from peathall.leadership.election import Election, Mandate
--- a/peathall/jobs/fallback.py
+++ b/peathall/jobs/follower.py
@@ -12,7 +12,7 @@
 from peathall.cells.model import BORROWED
 from peathall.config.platform import Params
 from peathall.jobs import records
-from peathall.jobs.live import Live
+from peathall.jobs.live_index import Live
 from peathall.jobs.service import NOT_NOW, Answer, can_never_run
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, Standing, job_status, spec_to_record
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -28,9 +28,9 @@
 from peathall.protocol.jobs import JobSpec
 from peathall.store.client import StateClient, StoreError
 from peathall.store.writer import Writer, WriterPhase
-from peathall.workers.caches import CACHE, Caches
+from peathall.workers.failing_jobs import SUSPECTS, Suspects
+from peathall.workers.image_cache import CACHE, Caches
 from peathall.workers.service import Workers
-from peathall.workers.suspects import SUSPECTS, Suspects
 
 if TYPE_CHECKING:
     from peathall.cells.service import CellLeader, CellRecords
--- a/peathall/placement/planner.py
+++ b/peathall/placement/planner.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterator, Sequence
 
 from peathall.config.platform import Team
-from peathall.placement.limits import TeamLimits
+from peathall.placement.capacity import choose
 from peathall.placement.ordering import order
 from peathall.placement.pool import MachinePool
 from peathall.placement.preemption import Preemption, TeamWorkLookup
-from peathall.placement.room import choose
+from peathall.placement.quotas import TeamLimits
 from peathall.placement.views import JobView, MachineView, Move, Plan, Start, TeamWork
 from peathall.protocol.jobs import JobSpec
 
--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -6,9 +6,9 @@
 from math import ceil, inf
 
 from peathall import constants
-from peathall.placement.limits import TeamLimits
+from peathall.placement.capacity import MachineRoom, free_in, room_with_victims
 from peathall.placement.pool import MachinePool
-from peathall.placement.room import MachineRoom, free_in, room_with_victims
+from peathall.placement.quotas import TeamLimits
 from peathall.placement.views import EPS, JobView, MachineView, Plan, TeamWork, Victim
 from peathall.protocol.jobs import JobSpec
 
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -14,8 +14,8 @@
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
-from peathall.placement.bookings import Booking, Bookings
 from peathall.placement.planner import Round
+from peathall.placement.reservations import Booking, Bookings
 from peathall.placement.rounds import Piece, RoundRecords, joined_by_gangs
 from peathall.placement.snapshot import Snapshot
 from peathall.placement.views import MachineView, Move, Plan, Start
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -9,8 +9,8 @@
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
-from peathall.placement.bookings import Bookings
 from peathall.placement.ordering import gathering_s, latest_start
+from peathall.placement.reservations import Bookings
 from peathall.placement.views import (
     Detail,
     JobView,
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -13,7 +13,7 @@
 from peathall.config.platform import StateSettings
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
-from peathall.store.budget import Budget
+from peathall.store.token_bucket import Budget
 
 
 class StoreError(Exception):
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -13,7 +13,7 @@
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
 from peathall.protocol.heartbeats import Report, report_from_wire
-from peathall.store.budget import Budget
+from peathall.store.token_bucket import Budget
 
 log = logging.getLogger("peathall.workers")
 
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -14,7 +14,7 @@
 from peathall.protocol.decode_cache import RecentlyRead
 from peathall.store.client import Put
 from peathall.store.writer import Writer
-from peathall.workers.caches import Caches
+from peathall.workers.image_cache import Caches
 from tests.sim.fleet_day import FleetPlayer
 from tests.sim.test_days import virtual
 from tests.unit.test_store import lead
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -15,8 +15,8 @@
 from peathall.cluster.state import ClusterState
 from peathall.store.client import Item, Put
 from peathall.store.writer import Writer
+from peathall.workers.failing_jobs import Suspects
 from peathall.workers.faults import FaultTracker
-from peathall.workers.suspects import Suspects
 from tests.unit.test_planner import spec
 from tests.unit.test_store import LIMITS, lead
 
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -9,12 +9,11 @@
 
 from peathall.cluster.ranges import Ranges
 from peathall.config.platform import StateSettings
-from peathall.jobs.fallback import Fallback
+from peathall.jobs.follower import Fallback
 from peathall.jobs.records import DONE, block_tasks, done_key, done_record, to_value
 from peathall.leadership.lease import LeadLease, first_attempt, token
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
 from peathall.protocol.codec import json_size
-from peathall.store.budget import Budget
 from peathall.store.client import Change as StoreChange
 from peathall.store.client import (
     ConflictError,
@@ -26,6 +25,7 @@
     StoreDoubtError,
 )
 from peathall.store.shared_records import SharedRecordWriter
+from peathall.store.token_bucket import Budget
 from peathall.store.writer import Change, DeposedError, LeadRecord, Writer
 
 
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -31,8 +31,8 @@
 from peathall.duties.gate import DutyGate
 from peathall.duties.model import ActRequest, Deletion, Duty, HolderRecord
 from peathall.duties.status import describe
-from peathall.jobs.fallback import Fallback
-from peathall.jobs.live import Live
+from peathall.jobs.follower import Fallback
+from peathall.jobs.live_index import Live
 from peathall.jobs.service import Jobs
 from peathall.leadership.election import Election, Mandate
 from peathall.leadership.lease import LeadLease, first_attempt
@@ -42,9 +42,9 @@
 from peathall.protocol.jobs import JobSpec, Standing, spec_from_record
 from peathall.store.client import Item, Put
 from peathall.store.writer import LeadRecord
-from peathall.workers.caches import Caches
+from peathall.workers.failing_jobs import Suspects
 from peathall.workers.faults import FaultTracker
-from peathall.workers.suspects import Suspects
+from peathall.workers.image_cache import Caches
 from tests.unit.test_jobs import PARAMS, leader
 from tests.unit.test_store import LIMITS, FakeStore
 from tests.unit.test_workers import new_fleet, new_workers
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -32,8 +32,8 @@
 from peathall.protocol.heartbeats import Report, TaskReport, TaskState, Why, report_from_wire
 from peathall.store.client import Item
 from peathall.store.writer import Writer
-from peathall.workers.caches import Caches
 from peathall.workers.events import IgnoredEvents
+from peathall.workers.image_cache import Caches
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_store import lead
