--- a/bench/cost.py
+++ b/bench/cost.py
@@ -71,7 +71,8 @@
     busiest = max(cluster.machines.values(), key=lambda m: len(m.attempts))
     wire = {
         "hall": busiest.name, "endpoint": "10.0.0.1:1", "build": "g", "ward": "a",
-        "standby": False, "tenure": 1, "tick": 0, "mandate": workers.token, "recall_s": None,
+        "standby": False, "tenure": 1, "tick": 0, "mandate": workers.fencing_token,
+        "recall_s": None,
         "parcels": [
             {"parcel": f"{j}/{t}", "try": a.number, "standing": "running"}
             for (j, t), a in busiest.attempts.items()
--- a/peathall/autoscaling/autoscaler.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -53,7 +53,7 @@
         cloud: CloudClient,
         writer: Writer,
         workers: Workers,
-        may_act: Callable[[], bool],
+        is_leader: Callable[[], bool],
         on_change: Callable[[], None],
         idle_hold_s: float | None,
         actions: CloudActions | None = None,
@@ -64,7 +64,7 @@
         self.cloud = cloud
         self.writer = writer
         self.workers = workers
-        self.may_act = may_act
+        self.is_leader = is_leader
         self.on_change = on_change
         self.boots = BootTimes(cluster)
         self.returns = Returns(cluster, params, workers.health, self.boots, idle_hold_s)
@@ -140,7 +140,7 @@
     ) -> None:
         while True:
             await pause()
-            if not self.may_act():
+            if not self.is_leader():
                 continue
             try:
                 await step()
@@ -321,7 +321,7 @@
 
     async def _request(self, request: str, offer: Offer, count: int) -> None:
         entry = (request, offer, count)
-        if not self.may_act():
+        if not self.is_leader():
             return
         try:
             got = await self.actions.rent(
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -33,7 +33,7 @@
 from peathall.jobs import records
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.service import can_never_run
-from peathall.leadership.lease import LeadLease
+from peathall.leadership.lease import LeaderLease
 from peathall.protocol.jobs import JobSpec, spec_from_record, spec_to_record
 from peathall.store.client import ConflictError, Drop, Item, Put, StoreError
 from peathall.store.writer import Writer
@@ -90,7 +90,7 @@
         self.epoch = epoch
         self.phase = phase
         self.job = job
-        self.lease: LeadLease | None = None
+        self.lease: LeaderLease | None = None
         self.revoked = False  # for good, by its home or by us
         self.storing = False  # its record is being written
         self.unplaced_since = now  # no task of it has had a place since then
@@ -114,7 +114,7 @@
 
     def may_run(self, now: float) -> bool:
         """Whether something of it may start now."""
-        return not self.revoked and self.lease is not None and self.lease.alive(now)
+        return not self.revoked and self.lease is not None and self.lease.is_valid(now)
 
     def item(self) -> BorrowedItem:
         """As it is told to its home."""
@@ -278,8 +278,8 @@
             self._revoke(held)
         elif ruling.verdict is Verdict.GRANTED and not held.revoked:
             if held.lease is None:
-                held.lease = LeadLease(ruling.lease_s, sent)
-            held.lease.renewed(sent)
+                held.lease = LeaderLease(ruling.lease_s, sent)
+            held.lease.record_renewal(sent)
             held.job.start_until = held.lease.until
             if held.phase is BorrowPhase.RESERVED:
                 self._adopt(held)
--- a/peathall/cells/lease.py
+++ b/peathall/cells/lease.py
@@ -1,7 +1,8 @@
 """The lease on a handoff, as its home counts it: pure arithmetic on the steady clock.
 
 The borrower counts from the *sending* of the heartbeat whose answer granted it, less drift and a
-margin (`LeadLease`); the home counts from the *receipt* of that heartbeat, plus drift. The receipt
+margin (`LeaderLease`); the home counts from the *receipt* of that heartbeat, plus drift. The
+receipt
 is never before the sending, so the home's count ends last.
 """
 
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -40,7 +40,7 @@
 from peathall.config.platform import Params
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.service import Answer, Jobs
-from peathall.leadership.election import TERM, TermRecord
+from peathall.leadership.election import TERM_KEY, TermRecord
 from peathall.placement.quotas import TeamLimits
 from peathall.placement.views import JobView, MachineView, Plan
 from peathall.protocol.jobs import JobSpec
@@ -87,7 +87,7 @@
         room: MachineRoom,
         tasks: TaskStopper,
         wall: Callable[[], float],
-        may_act: Callable[[], bool],
+        is_leader: Callable[[], bool],
         may_send: Callable[[], bool],
         rng: random.Random,
     ) -> None:
@@ -100,7 +100,7 @@
         self.jobs = jobs
         self.room = room
         self.wall = wall
-        self.may_act = may_act
+        self.is_leader = is_leader
         self.rng = rng
         # Leases are asked for before we act: whoever holds the lead may do that.
         self.cells = {n.name: CellClient(n, may_send, loop.time) for n in own.neighbour}
@@ -175,7 +175,7 @@
     async def _beat_on(self, cell: CellClient) -> None:
         while True:
             await self._until_due(cell)
-            if self.may_act():
+            if self.is_leader():
                 await self._beat(cell)
 
     async def _until_due(self, cell: CellClient) -> None:
@@ -239,7 +239,7 @@
             return 400, {"error": str(exc)}
         if message.cell not in self.cells or message.to != self.own.name:
             return 403, {"error": f"{message.cell} is no neighbour of {self.own.name}"}
-        if not self.may_act():
+        if not self.is_leader():
             return NOT_LEADING
         try:
             answer = await handle(message)
@@ -247,7 +247,7 @@
             return 409, {"error": str(exc)}
         except msgspec.ValidationError as exc:
             return 400, {"error": str(exc)}
-        return (200, to_value(answer)) if self.may_act() else NOT_LEADING
+        return (200, to_value(answer)) if self.is_leader() else NOT_LEADING
 
     async def _offered(self, offer: Offer) -> OfferAnswer:
         if self.own.mode is not Mode.ON:
@@ -304,7 +304,7 @@
     async def _spill_on(self) -> None:
         while True:
             await asyncio.sleep(constants.TICK_S)
-            if self.may_act() and self.own.mode is Mode.ON:
+            if self.is_leader() and self.own.mode is Mode.ON:
                 self._spill()
 
     def _spill(self) -> None:
@@ -360,9 +360,9 @@
     # --- retiring, and what operators are told -------------------------------
     async def _retire(self) -> None:
         """Once no handoff is left, the feature is off: say so in the record of the term."""
-        while self.home.handoffs or self.borrower.borrowed or not self.may_act():
+        while self.home.handoffs or self.borrower.borrowed or not self.is_leader():
             await asyncio.sleep(constants.TICK_S)
-        await self.writer.submit([Put(TERM, to_value(TermRecord(self.cluster.term)))])
+        await self.writer.submit([Put(TERM_KEY, to_value(TermRecord(self.cluster.term)))])
         log.info("cells are off: restart all controllers without the section")
         await asyncio.Event().wait()
 
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -28,7 +28,7 @@
 from peathall.jobs.follower import Fallback
 from peathall.jobs.service import NOT_NOW, Answer
 from peathall.leader.term import Leader
-from peathall.leadership.election import Election, Mandate
+from peathall.leadership.election import Election, LeaderTerm
 from peathall.operator_config.settings import Operator
 from peathall.peers.service import Peers
 from peathall.protocol import codec
@@ -76,7 +76,7 @@
             constants.LEADER_WRITE_SHARE if mode is Mode.OFF else constants.DUTY_LEADER_WRITES,
         )
         self.cloud = CloudClient(
-            settings.services.cloud, settings.params.cloud, lambda: self.election.may_act()
+            settings.services.cloud, settings.params.cloud, lambda: self.election.is_leader()
         )
         self.leader: Leader | None = None
         gate = DutyGate(self.store, mode)
@@ -86,7 +86,7 @@
         self.peers = Peers(
             settings.peers,
             self._forwarded,
-            self.election.may_act,
+            self.election.is_leader,
             [self._serve_duty, self._serve_cells],
         )
         self.duties = self._make_duties() if mode is not Mode.OFF else None
@@ -106,7 +106,7 @@
             self.operator.duties or DutySettings(),
             self.store,
             self.peers.send,
-            lambda: self.election.may_act(),
+            lambda: self.election.is_leader(),
             self.wall,
             self.rng,
         )
@@ -165,15 +165,15 @@
             await self.duties.release_all()
 
     # --- leading -------------------------------------------------------------
-    async def _lead(self, mandate: Mandate) -> None:
+    async def _lead(self, leader_term: LeaderTerm) -> None:
         leader = Leader(
             self.settings,
             self.operator,
             self.store,
             self.cloud,
-            mandate,
-            self.election.may_act,
-            self.election.depose,
+            leader_term,
+            self.election.is_leader,
+            self.election.step_down,
             self.wall,
             lambda: self.peers.reporting_elsewhere(self.loop.time()),
             self.duties,
@@ -190,9 +190,9 @@
         while True:
             await asyncio.sleep(constants.PING_S)
             leader, now = self.leader, self.loop.time()
-            if leader is None or not leader.may_act():
+            if leader is None or not leader.is_active():
                 continue
-            young = now - leader.workers.took_over < leader.workers.health.unreached_s()
+            young = now - leader.workers.failover_at < leader.workers.health.unreached_s()
             if not young and leader.workers.health.out_of_reach(now):
                 await self.election.resign("workers reach others, but not us")
 
@@ -316,7 +316,7 @@
     async def _ask(self, message: dict[str, Any], spec: JobSpec | None = None) -> Answer:
         """The leader here, the leader elsewhere, or else the store itself."""
         if self.leader is not None:
-            if self.leader.may_act():
+            if self.leader.is_active():
                 return await self._local(self.leader, message, spec)
         else:
             steward = self._steward()
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -26,9 +26,9 @@
     TokenRecord,
     to_value,
 )
-from peathall.leadership.lease import LeadLease
+from peathall.leadership.lease import LeaderLease
 from peathall.store.client import ConflictError, LeaseGoneError, Put, StateClient, StoreError
-from peathall.store.writer import LeadRecord
+from peathall.store.writer import GuardKey
 
 log = logging.getLogger("peathall.duties")
 
@@ -36,7 +36,7 @@
 class Tenure:
     """What a claim gives: the token, the holder's record and its lease."""
 
-    def __init__(self, holder: HolderRecord, record: LeadRecord, lease: LeadLease) -> None:
+    def __init__(self, holder: HolderRecord, record: GuardKey, lease: LeaderLease) -> None:
         self.holder = holder
         self.record = record
         self.lease = lease
@@ -82,7 +82,7 @@
     def may_act(self) -> bool:
         """Whether our lease on the duty lives, by our clock."""
         holding = self.phase in (DutyPhase.HOLDING, DutyPhase.UNSURE)
-        return holding and self.tenure is not None and self.tenure.lease.alive(self.loop.time())
+        return holding and self.tenure is not None and self.tenure.lease.is_valid(self.loop.time())
 
     def may_begin(self) -> bool:
         """Whether something new may be begun: not while a renewal is without an answer."""
@@ -147,8 +147,8 @@
             await self._end(lease_id)
             self._enter(DutyPhase.FOLLOWING)
             return
-        record = LeadRecord(self.duty.holder_key, value, version, lease_id)
-        await self._hold(Tenure(holder, record, LeadLease(self.lease_s, sent)))
+        record = GuardKey(self.duty.holder_key, value, version, lease_id)
+        await self._hold(Tenure(holder, record, LeaderLease(self.lease_s, sent)))
 
     async def _hold(self, tenure: Tenure) -> None:
         self.tenure = tenure
@@ -178,7 +178,7 @@
             sent = self.loop.time()
             try:
                 await self.store.renew(tenure.holder.lease, pause)
-                tenure.lease.renewed(sent)
+                tenure.lease.record_renewal(sent)
                 self._enter(DutyPhase.HOLDING)
             except LeaseGoneError:
                 log.info("the lease on %s is gone", self.duty.value)
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -26,7 +26,7 @@
     Outcome,
     to_value,
 )
-from peathall.leadership.election import LEAD
+from peathall.leadership.election import LEADER_KEY
 from peathall.store.client import (
     ConflictError,
     Drop,
@@ -35,7 +35,7 @@
     StateClient,
     StoreError,
 )
-from peathall.store.writer import DeposedError, Writer
+from peathall.store.writer import LeadershipLostError, Writer
 
 log = logging.getLogger("peathall.duties")
 
@@ -117,7 +117,7 @@
             return
         error = done.exception()
         if error is not None:
-            if not isinstance(error, DeposedError):
+            if not isinstance(error, LeadershipLostError):
                 log.error("%s %s failed", self.duty.value, name, exc_info=error)
             return
         if done.result().outcome is Outcome.REFUSED:
@@ -155,7 +155,7 @@
         assert work is not None
         ops: list[Put | Drop] = [Put(put.key, put.value) for put in work.puts]
         ops += [Drop(key) for key in work.drops]
-        conditions = work.conditions | {LEAD: request.lead_version}
+        conditions = work.conditions | {LEADER_KEY: request.lead_version}
         try:
             revision = await self.writer.submit(ops, conditions)
         except ConflictError as exc:
@@ -170,11 +170,11 @@
         key = self.duty.act_prefix + request.name
         token = self.tenure.holder.token
         record = ActRecord(token, request.term, request.rental, request.deletion)
-        conditions = {key: 0, LEAD: request.lead_version}
+        conditions = {key: 0, LEADER_KEY: request.lead_version}
         try:
             await self.writer.submit([Put(key, to_value(record))], conditions)
         except ConflictError as exc:
-            why = "its leader is replaced" if LEAD in exc.failed else "its name is in use"
+            why = "its leader is replaced" if LEADER_KEY in exc.failed else "its name is in use"
             return ActAnswer(Outcome.REFUSED, why=why)
         except StoreError as exc:
             return ActAnswer(Outcome.REFUSED, why=str(exc))
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -37,7 +37,7 @@
 from peathall.duties.status import DutiesStatus, describe
 from peathall.duties.writes import DelegatedWrites
 from peathall.http.client import NoAnswerError
-from peathall.leadership.election import LEAD, LeadValue
+from peathall.leadership.election import LEADER_KEY, LeaderRecord
 from peathall.store.client import ConflictError, Drop, Item, StateClient, StoreError
 from peathall.store.writer import Writer
 
@@ -203,8 +203,8 @@
     async def status(self) -> DutiesStatus:
         """Who holds what, read from the store; why work waits, as the leader knows it."""
         items = [*(await self.store.scan(PREFIX))[0], *(await self.store.scan(ACT))[0]]
-        item = await self.store.get(LEAD)
-        leader = msgspec.convert(item.value, LeadValue).member if item is not None else None
+        item = await self.store.get(LEADER_KEY)
+        leader = msgspec.convert(item.value, LeaderRecord).member if item is not None else None
         waiting = self._waiting()
         if leader is not None and leader != self.settings.name:
             waiting = await self._ask_waiting(leader)
--- a/peathall/duties/writes.py
+++ b/peathall/duties/writes.py
@@ -22,7 +22,7 @@
     StoredValue,
     StoreWork,
 )
-from peathall.leadership.election import LEAD
+from peathall.leadership.election import LEADER_KEY
 from peathall.store.client import ConflictError, Drop, InvalidError, Put
 from peathall.store.writer import Batch, Change, Writer
 
@@ -131,7 +131,7 @@
                 if answer.outcome is Outcome.INVALID:
                     await self._give_up_invalid(batch, answer)
                     return
-                if LEAD not in answer.failed:
+                if LEADER_KEY not in answer.failed:
                     self._split(batch, answer.failed)
                     return
                 # Our record was written anew as a fence; or we are replaced, and the term ends.
@@ -150,7 +150,7 @@
     async def _was_applied(self, batch: list[Change], request: ActRequest) -> bool:
         assert request.write is not None
         ops = [op for change in batch for op in change.ops]
-        conditions = request.write.conditions | {LEAD: request.lead_version}
+        conditions = request.write.conditions | {LEADER_KEY: request.lead_version}
         revision = await self.writer.until_known(ops, conditions)
         if revision:
             self.writer.applied(batch, revision)
--- a/peathall/jobs/background.py
+++ b/peathall/jobs/background.py
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from peathall.store.writer import DeposedError
+from peathall.store.writer import LeadershipLostError
 
 log = logging.getLogger("peathall.jobs")
 
@@ -33,7 +33,7 @@
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = task.exception()
-            if not isinstance(error, DeposedError):
+            if not isinstance(error, LeadershipLostError):
                 log.error("writing a record failed", exc_info=error)
 
     def close(self) -> None:
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -18,7 +18,7 @@
 from peathall.config.platform import Settings
 from peathall.jobs import records
 from peathall.jobs.service import NOT_NOW, Answer, Jobs
-from peathall.leadership.election import TERM, Mandate
+from peathall.leadership.election import TERM_KEY, LeaderTerm
 from peathall.leadership.lease import first_attempt
 from peathall.operator_config.settings import Operator
 from peathall.placement.rounds import ROUND
@@ -59,15 +59,15 @@
         operator: Operator,
         store: StateClient,
         cloud: CloudClient,
-        mandate: Mandate,
-        may_act: Callable[[], bool],
-        depose: Callable[[], None],
+        leader_term: LeaderTerm,
+        is_active: Callable[[], bool],
+        step_down: Callable[[], None],
         wall: Callable[[], float],
         reporting_elsewhere: Callable[[], dict[str, tuple[int, int]]],
         duties: Duties | None = None,
         rng: random.Random | None = None,
     ) -> None:
-        self.duties = duties if mandate.delegates else None
+        self.duties = duties if leader_term.delegates else None
         self.delegation: Delegation | None = None
         params = settings.params
         self.loop = asyncio.get_running_loop()
@@ -75,20 +75,22 @@
         self.store = store
         self.phase = LeaderPhase.REBUILDING
         self.ready = asyncio.Event()
-        self._lease_alive = may_act
+        self._lease_is_valid = is_active
         now = self.loop.time()
-        self.cluster = ClusterState(mandate.term, first_attempt(mandate.term))
+        self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term))
         # Records of handoffs are dropped within seconds: a late try must not bring one back.
         fence_doubts = operator.cells is not None
-        self.writer = Writer(store, params.state, mandate.record, may_act, depose, fence_doubts)
-        self.writer.versions[TERM] = mandate.record.version  # written in one commit
+        self.writer = Writer(
+            store, params.state, leader_term.record, is_active, step_down, fence_doubts
+        )
+        self.writer.versions[TERM_KEY] = leader_term.record.version  # written in one commit
         if self.duties is not None:
-            self.delegation = self.duties.delegate(mandate.term, self.writer)
+            self.delegation = self.duties.delegate(leader_term.term, self.writer)
         self.workers = Workers(
             self.cluster,
             params.workers,
             now,
-            self.may_act,
+            self.is_active,
             self,
             max(1, int(params.machine_limits.fd_limit * constants.DIRECT_SHARE)),
             constants.DEFERRABLE_ORDERS * min(1.0, params.machine_limits.cpu_share),
@@ -113,7 +115,7 @@
             cloud,
             self.writer,
             self.workers,
-            self.may_act,
+            self.is_active,
             self._request_round,
             operator.idle_hold_s,
             self.delegation.cloud if self.delegation is not None else None,
@@ -124,7 +126,7 @@
             self.writer,
             self.workers,
             wall,
-            self.may_act,
+            self.is_active,
             [self.fleet, self],
             self.delegation.reclaiming if self.delegation is not None else None,
         )
@@ -149,8 +151,8 @@
             self.placement,
             self,
             wall,
-            self.may_act,
-            self._lease_alive,
+            self.is_active,
+            self._lease_is_valid,
             rng,
         )
 
@@ -159,9 +161,9 @@
         if self.phase is not LeaderPhase.OVER:
             self.phase = phase
 
-    def may_act(self) -> bool:
+    def is_active(self) -> bool:
         """Whether orders and answers may leave now."""
-        return self.phase is LeaderPhase.SERVING and self._lease_alive()
+        return self.phase is LeaderPhase.SERVING and self._lease_is_valid()
 
     # --- between the slices --------------------------------------------------
     def _request_round(self) -> None:
@@ -302,7 +304,7 @@
         self.suspects.load(suspects)
         self.fleet.condemn(condemned, self.loop.time())
         self.placement.rounds.load(rounds, self.loop.time())
-        self.workers.took_over = self.loop.time()
+        self.workers.failover_at = self.loop.time()
 
     async def _read_cells(self) -> CellRecords | None:
         return None if self.cells is None else await self.cells.read_records(self.store)
@@ -310,12 +312,12 @@
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(constants.TICK_S)
-            if self.may_act():
+            if self.is_active():
                 if self.cells is not None:
                     self.cells.tick(self.loop.time())
                 self.workers.tick(self.loop.time())
                 self.placement.rounds.compact(self.loop.time())
-                if self.loop.time() - self.workers.took_over > constants.FORGET_CACHES_S:
+                if self.loop.time() - self.workers.failover_at > constants.FORGET_CACHES_S:
                     self.caches.forget_unknown()
                 for job in list(self.cluster.jobs.values()):
                     self.jobs.look_after(job)
@@ -328,7 +330,7 @@
                 await asyncio.wait_for(self.ready.wait(), constants.CHECKIN_HOLD_S)
             except TimeoutError:
                 return 503, None
-        if not self.may_act():
+        if not self.is_active():
             return 503, None
         if self.cells is not None:
             self.cells.borrower.stop_lapsed(self.loop.time())
@@ -340,7 +342,7 @@
         self.requests.add(task)
         task.add_done_callback(self._reap)
         done, _ = await asyncio.wait([task], timeout=limit)
-        if not done or task.cancelled() or task.exception() is not None or not self.may_act():
+        if not done or task.cancelled() or task.exception() is not None or not self.is_active():
             return NOT_NOW
         return task.result()
 
@@ -350,7 +352,7 @@
             log.info("request given up: %r", task.exception())
 
     def _cannot_write(self) -> bool:
-        return not self.may_act() or self.writer.phase is WriterPhase.IN_DOUBT
+        return not self.is_active() or self.writer.phase is WriterPhase.IN_DOUBT
 
     async def accept(self, spec: JobSpec) -> Answer:
         """A submission."""
@@ -362,7 +364,7 @@
 
     async def query(self, job_id: str) -> Answer:
         """A poll."""
-        if not self.may_act():
+        if not self.is_active():
             return NOT_NOW
         if self.cells is not None and self.cells.home_of(job_id):
             return await self.cells.ask_home(QUERY, job_id)
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -19,7 +19,7 @@
 
 from peathall import constants
 from peathall.config.modes import Mode
-from peathall.leadership.lease import LeadLease
+from peathall.leadership.lease import LeaderLease
 from peathall.store.client import (
     ConflictError,
     LeaseGoneError,
@@ -27,21 +27,21 @@
     StateClient,
     StoreError,
 )
-from peathall.store.writer import LeadRecord
+from peathall.store.writer import GuardKey
 
 log = logging.getLogger("peathall.leadership")
 
-LEAD = "lead"
-TERM = "term"
+LEADER_KEY = "lead"
+TERM_KEY = "term"
 
 
-class Phase(Enum):
+class ElectionPhase(Enum):
     """A controller's part in the election."""
 
-    FOLLOWING = auto()  # somebody leads, or we do not know
-    STANDING = auto()  # a campaign is under way
-    LEADING = auto()
-    RESTING = auto()  # gave the lead up since workers did not reach us
+    FOLLOWER = auto()  # somebody leads, or we do not know
+    CANDIDATE = auto()  # a campaign is under way
+    LEADER = auto()
+    BACKOFF = auto()  # gave the lead up since workers did not reach us
 
 
 class TermRecord(Struct, frozen=True, omit_defaults=True):
@@ -51,7 +51,7 @@
     cells: bool = False  # jobs may be in other cells: only who knows of those may lead
 
 
-class LeadValue(Struct, frozen=True):
+class LeaderRecord(Struct, frozen=True):
     """The value of `lead`: who leads, in which term, on which lease."""
 
     member: str
@@ -78,15 +78,15 @@
         """Whether such keys, which failed a campaign, will fail the next one as well."""
 
 
-class Mandate:
+class LeaderTerm:
     """What a won election gives: the term, `lead` as it was written, and its lease."""
 
     def __init__(
         self,
         term: int,
-        record: LeadRecord,
+        record: GuardKey,
         lease_id: int,
-        lease: LeadLease,
+        lease: LeaderLease,
         delegates: bool = False,
     ) -> None:
         self.delegates = delegates
@@ -103,7 +103,7 @@
         self,
         name: str,
         store: StateClient,
-        lead: Callable[[Mandate], Awaitable[None]],
+        lead: Callable[[LeaderTerm], Awaitable[None]],
         rng: random.Random,
         gate: CampaignGate,
         cells: Mode = Mode.OFF,
@@ -115,37 +115,37 @@
         self.lead = lead  # runs as long as we lead; returns when deposed
         self.rng = rng
         self.loop = asyncio.get_running_loop()
-        self.phase = Phase.FOLLOWING
+        self.phase = ElectionPhase.FOLLOWER
         self.leader: str | None = None  # who leads as far as we know
-        self.mandate: Mandate | None = None
-        self.rest_until = 0.0
-        self.vacant_since: float | None = None
-        self._deposed = asyncio.Event()
+        self.leader_term: LeaderTerm | None = None
+        self.backoff_until = 0.0
+        self.leaderless_since: float | None = None
+        self._stepping_down = asyncio.Event()
 
-    def _enter(self, phase: Phase) -> None:
+    def _enter(self, phase: ElectionPhase) -> None:
         if phase is not self.phase:
             log.info("leadership: %s -> %s", self.phase.name, phase.name)
             self.phase = phase
 
-    def may_act(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this controller's lease on the lead lives."""
         return (
-            self.phase is Phase.LEADING
-            and self.mandate is not None
-            and self.mandate.lease.alive(self.loop.time())
+            self.phase is ElectionPhase.LEADER
+            and self.leader_term is not None
+            and self.leader_term.lease.is_valid(self.loop.time())
         )
 
-    def depose(self) -> None:
+    def step_down(self) -> None:
         """The lead turned out to be another's."""
-        self._deposed.set()
+        self._stepping_down.set()
 
     async def run(self) -> None:
         """Follow, stand and lead in turns, for ever."""
         started = True
         while True:
             try:
-                item = await self.store.get(LEAD, first=True)
-                lead = msgspec.convert(item.value, LeadValue) if item is not None else None
+                item = await self.store.get(LEADER_KEY, first=True)
+                lead = msgspec.convert(item.value, LeaderRecord) if item is not None else None
                 if lead is not None and lead.member == self.name:
                     # We are not leading, so this is an earlier life of ours or a
                     # campaign whose answer was lost: nobody acts on it.
@@ -154,7 +154,7 @@
                     item = lead = None
                 self._follow(lead)
                 if item is None:
-                    if not self._resting():
+                    if not self._backing_off():
                         if not started:
                             await asyncio.sleep(self.rng.random() * constants.CAMPAIGN_JITTER_S)
                         started = False
@@ -168,29 +168,33 @@
                 await asyncio.sleep(constants.STORE_RETRY_S)
             started = False
 
-    def _resting(self) -> bool:
+    def _backing_off(self) -> bool:
         now = self.loop.time()
-        if self.vacant_since is None:
-            self.vacant_since = now
-        return now < self.rest_until and now - self.vacant_since < constants.REST_VACANT_S
+        if self.leaderless_since is None:
+            self.leaderless_since = now
+        return now < self.backoff_until and now - self.leaderless_since < constants.REST_VACANT_S
 
-    def _follow(self, lead: LeadValue | None) -> None:
+    def _follow(self, lead: LeaderRecord | None) -> None:
         leader = lead.member if lead is not None else None
         if leader != self.leader:
             log.info("leader is now %s", leader)
         self.leader = leader
         if leader is not None:
-            self.vacant_since = None
-        self._enter(Phase.RESTING if self.loop.time() < self.rest_until else Phase.FOLLOWING)
+            self.leaderless_since = None
+        self._enter(
+            ElectionPhase.BACKOFF
+            if self.loop.time() < self.backoff_until
+            else ElectionPhase.FOLLOWER
+        )
 
     async def _await_change(self, version: int) -> None:
         after: int = version
         while True:
-            result = await self.store.watch(LEAD, after)
+            result = await self.store.watch(LEADER_KEY, after)
             if result is None:
                 return
             after, changes = result
-            if any(change.key == LEAD for change in changes):
+            if any(change.key == LEADER_KEY for change in changes):
                 return
 
     async def _end(self, lease_id: int) -> None:
@@ -200,9 +204,9 @@
             log.debug("ending a lease: %s", exc)
 
     async def _campaign(self) -> None:
-        self._enter(Phase.STANDING)
+        self._enter(ElectionPhase.CANDIDATE)
         terms = await self.gate.terms()
-        term_item = await self.store.get(TERM, first=True)
+        term_item = await self.store.get(TERM_KEY, first=True)
         before = msgspec.convert(term_item.value, TermRecord) if term_item else TermRecord()
         if before.cells and self.cells is Mode.OFF:
             log.error("cells are on, and off at this controller: it does not lead")
@@ -212,13 +216,17 @@
         counted = TermRecord(term, before.cells or self.cells is Mode.ON)
         sent = self.loop.time()
         lease_id = await self.store.lease(constants.LEAD_TTL_S)
-        record = msgspec.to_builtins(LeadValue(self.name, term, lease_id))
+        record = msgspec.to_builtins(LeaderRecord(self.name, term, lease_id))
         try:
             version = await self.store.commit(
-                {LEAD: 0, TERM: term_item.version if term_item else 0, **terms.conditions},
+                {
+                    LEADER_KEY: 0,
+                    TERM_KEY: term_item.version if term_item else 0,
+                    **terms.conditions,
+                },
                 [
-                    Put(LEAD, record, lease_id),
-                    Put(TERM, msgspec.to_builtins(counted)),
+                    Put(LEADER_KEY, record, lease_id),
+                    Put(TERM_KEY, msgspec.to_builtins(counted)),
                     *terms.puts,
                 ],
             )
@@ -229,55 +237,57 @@
             return
         # A commit without an answer ends up in run(): if it did go through, `lead`
         # names us, that lease is ended, and the term is simply skipped.
-        written = LeadRecord(LEAD, record, version, lease_id)
-        lease = LeadLease(constants.LEAD_TTL_S, sent)
-        self.mandate = Mandate(term, written, lease_id, lease, terms.delegates)
-        await self._lead(self.mandate)
+        written = GuardKey(LEADER_KEY, record, version, lease_id)
+        lease = LeaderLease(constants.LEAD_TTL_S, sent)
+        self.leader_term = LeaderTerm(term, written, lease_id, lease, terms.delegates)
+        await self._lead(self.leader_term)
 
-    async def _lead(self, mandate: Mandate) -> None:
-        self._deposed = asyncio.Event()
+    async def _lead(self, leader_term: LeaderTerm) -> None:
+        self._stepping_down = asyncio.Event()
         self.leader = self.name
-        self.vacant_since = None
-        self._enter(Phase.LEADING)
-        log.info("leading in term %d", mandate.term)
+        self.leaderless_since = None
+        self._enter(ElectionPhase.LEADER)
+        log.info("leading in term %d", leader_term.term)
         self.store.set_leading(True)
-        renewing = asyncio.create_task(self._renew(mandate))
-        leading = asyncio.ensure_future(self.lead(mandate))
-        deposed = asyncio.create_task(self._deposed.wait())
+        renewing = asyncio.create_task(self._renew(leader_term))
+        leading = asyncio.ensure_future(self.lead(leader_term))
+        stepping_down = asyncio.create_task(self._stepping_down.wait())
         try:
-            await asyncio.wait([renewing, leading, deposed], return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                [renewing, leading, stepping_down], return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
-            self.mandate = None
-            self._enter(Phase.FOLLOWING)
+            self.leader_term = None
+            self._enter(ElectionPhase.FOLLOWER)
             self.leader = None
             self.store.set_leading(False)
-            for task in (renewing, leading, deposed):
+            for task in (renewing, leading, stepping_down):
                 task.cancel()
-            results = await asyncio.gather(renewing, leading, deposed, return_exceptions=True)
+            results = await asyncio.gather(renewing, leading, stepping_down, return_exceptions=True)
             for result in results:
                 if isinstance(result, Exception):
                     log.error("the term ended by an error", exc_info=result)
                     # Give the others a turn rather than fail at once again.
-                    self.rest_until = self.loop.time() + constants.REST_S
-            log.info("no longer leading term %d", mandate.term)
+                    self.backoff_until = self.loop.time() + constants.REST_S
+            log.info("no longer leading term %d", leader_term.term)
 
-    async def _renew(self, mandate: Mandate) -> None:
+    async def _renew(self, leader_term: LeaderTerm) -> None:
         """Renew until the lease is gone; an outage is waited out, in the same term."""
         silent = False
         while True:
             sent = self.loop.time()
             try:
-                await self.store.renew(mandate.lease_id, constants.RENEW_S)
-                mandate.lease.renewed(sent)
+                await self.store.renew(leader_term.lease_id, constants.RENEW_S)
+                leader_term.lease.record_renewal(sent)
                 if silent:
-                    log.info("the lease of term %d is alive again", mandate.term)
+                    log.info("the lease of term %d is alive again", leader_term.term)
                     silent = False
                 pause = constants.RENEW_S
             except LeaseGoneError:
-                log.info("the lease of term %d is gone", mandate.term)
+                log.info("the lease of term %d is gone", leader_term.term)
                 return
             except StoreError as exc:
-                if not silent and not mandate.lease.alive(self.loop.time()):
+                if not silent and not leader_term.lease.is_valid(self.loop.time()):
                     log.info("standing still, the lease cannot be renewed: %s", exc)
                     silent = True
                 pause = constants.STORE_RETRY_S
@@ -285,11 +295,11 @@
 
     async def resign(self, why: str) -> None:
         """Give the lead up and stand back, since another controller can do better."""
-        if self.mandate is None:
+        if self.leader_term is None:
             return
         log.info("resigning: %s", why)
-        self.rest_until = self.loop.time() + constants.REST_S
-        lease_id = self.mandate.lease_id
-        self.mandate.lease.until = 0.0
-        self.depose()
+        self.backoff_until = self.loop.time() + constants.REST_S
+        lease_id = self.leader_term.lease_id
+        self.leader_term.lease.until = 0.0
+        self.step_down()
         await self._end(lease_id)
--- a/peathall/leadership/lease.py
+++ b/peathall/leadership/lease.py
@@ -8,27 +8,27 @@
 TERM_SHIFT = 32
 
 
-class LeadLease:
+class LeaderLease:
     """Counted from the sending of the last good renewal, less drift and a margin."""
 
     def __init__(self, ttl_s: float, sent: float) -> None:
         self.ttl_s = ttl_s
         self.until = 0.0
-        self.renewed(sent)
+        self.record_renewal(sent)
 
-    def renewed(self, sent: float) -> None:
+    def record_renewal(self, sent: float) -> None:
         """A renewal that was sent at this time was answered."""
         self.until = max(
             self.until, sent + self.ttl_s * (1 - 2 * constants.DRIFT) - constants.LEAD_MARGIN_S
         )
 
-    def alive(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether nobody else can hold the lead yet."""
         return now < self.until
 
 
-def token(term: int, counter: int) -> int:
-    """Mandate of the workers' protocol: the term, then a counter the leader raises."""
+def fencing_token(term: int, counter: int) -> int:
+    """LeaderTerm of the workers' protocol: the term, then a counter the leader raises."""
     return (term << TERM_SHIFT) | counter
 
 
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -53,7 +53,7 @@
         writer: Writer,
         workers: Workers,
         wall: Callable[[], float],
-        may_act: Callable[[], bool],
+        is_leader: Callable[[], bool],
         demand: Sequence[DemandListener],
         reclaim: Offers | None = None,
     ) -> None:
@@ -63,7 +63,7 @@
         self.writer = writer
         self.workers = workers
         self.wall = wall
-        self.may_act = may_act
+        self.is_leader = is_leader
         self.loop = asyncio.get_running_loop()
         self.wake = asyncio.Event()
         self.bookings = Bookings()
@@ -87,7 +87,7 @@
                 pass
             await asyncio.sleep(constants.ROUND_GAP_S)
             self.wake.clear()
-            if not self.may_act():
+            if not self.is_leader():
                 continue
             began = self.loop.time()
             await self.round(began)
--- a/peathall/protocol/heartbeats.py
+++ b/peathall/protocol/heartbeats.py
@@ -99,7 +99,7 @@
     spot: bool
     session: int
     seq: int
-    token: int
+    fencing_token: int
     notice_s: float | None
     tasks: list[TaskReport]
 
@@ -144,7 +144,7 @@
         spot=wire.standby,
         session=wire.tenure,
         seq=wire.tick,
-        token=wire.mandate,
+        fencing_token=wire.mandate,
         notice_s=wire.recall_s,
         tasks=tasks,
     )
@@ -170,11 +170,11 @@
     return {"writ": "forget", "parcel": task_to_wire(job, task), "try": attempt}
 
 
-def checkin_answer(token: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
+def checkin_answer(fencing_token: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
     """The body of the answer to a report."""
-    return {"mandate": token, "writs": orders}
+    return {"mandate": fencing_token, "writs": orders}
 
 
-def direct_orders(token: int, session: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
+def direct_orders(fencing_token: int, session: int, orders: list[dict[str, Any]]) -> dict[str, Any]:
     """The body of direct orders."""
-    return {"mandate": token, "tenure": session, "writs": orders}
+    return {"mandate": fencing_token, "tenure": session, "writs": orders}
--- a/peathall/store/shared_records.py
+++ b/peathall/store/shared_records.py
@@ -7,7 +7,7 @@
 
 from peathall.protocol.codec import json_size
 from peathall.store.client import ConflictError, Put
-from peathall.store.writer import Change, DeposedError, Writer, WriterPhase
+from peathall.store.writer import Change, LeadershipLostError, Writer, WriterPhase
 
 
 class SharedRecordWriter:
@@ -31,7 +31,7 @@
         """The future gives the key of the record in which the entry was stored."""
         entry = Entry(value, conditions or {})
         if self.writer.phase is WriterPhase.STOPPED:
-            entry.stored.set_exception(DeposedError())
+            entry.stored.set_exception(LeadershipLostError())
         else:
             self.waiting.append(entry)
             self.writer.ask_first(self.stem, self._make)
@@ -60,7 +60,7 @@
         return change
 
     def _settle(self, key: str, taken: list[Entry], done: asyncio.Future[int]) -> None:
-        error = done.exception() if not done.cancelled() else DeposedError()
+        error = done.exception() if not done.cancelled() else LeadershipLostError()
         failed = set(error.failed) if isinstance(error, ConflictError) else set()
         again = []
         for entry in taken:
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -37,7 +37,7 @@
 log = logging.getLogger("peathall.store")
 
 
-class DeposedError(Exception):
+class LeadershipLostError(Exception):
     """`lead` is no longer ours; nothing was written."""
 
 
@@ -70,7 +70,7 @@
         """Delete a record."""
 
 
-class LeadRecord:
+class GuardKey:
     """The record that shows that we lead; every transaction depends on its version."""
 
     __slots__ = ("key", "lease", "value", "version")
@@ -155,9 +155,9 @@
         self,
         store: StateClient,
         limits: StateSettings,
-        lead: LeadRecord,
-        may_act: Callable[[], bool],
-        on_deposed: Callable[[], None],
+        lead: GuardKey,
+        lease_is_valid: Callable[[], bool],
+        on_leadership_lost: Callable[[], None],
         fence_doubts: bool = False,
     ) -> None:
         self.fence_doubts = fence_doubts  # see _commit()
@@ -165,8 +165,8 @@
         self.limits = limits
         self.value_limit = int(limits.value_kb * 1024 * constants.VALUE_FILL)  # bytes of a value
         self.lead = lead
-        self.may_act = may_act
-        self.on_deposed = on_deposed
+        self.lease_is_valid = lease_is_valid
+        self.on_leadership_lost = on_leadership_lost
         self.loop = asyncio.get_running_loop()
         self.phase = WriterPhase.IDLE
         self.queue: list[Change] = []
@@ -183,14 +183,14 @@
     def submit(
         self, ops: list[Put | Drop], conditions: dict[str, int] | None = None
     ) -> asyncio.Future[int]:
-        """Queue a change; its future gives the revision, or ConflictError or DeposedError.
+        """Queue a change; its future gives the revision, or ConflictError or LeadershipLostError.
 
         Keys without a condition of their own are conditional on the version that
         this writer knows of them (0: never written).
         """
         change = Change(conditions or {}, ops)
         if self.phase is WriterPhase.STOPPED:
-            change.done.set_exception(DeposedError())
+            change.done.set_exception(LeadershipLostError())
         else:
             self.queue.append(change)
             self.wake.set()
@@ -232,7 +232,7 @@
         self.spare.clear()
         for change in self.queue:
             if not change.done.done():
-                change.done.set_exception(DeposedError())
+                change.done.set_exception(LeadershipLostError())
         self.queue.clear()
         self.wake.set()
 
@@ -284,7 +284,7 @@
                 self.wake.clear()
                 await self.wake.wait()
                 continue
-            if not self.may_act():
+            if not self.lease_is_valid():
                 # Stand still, do not forget: the lease may come back to life.
                 await asyncio.sleep(constants.STORE_RETRY_S)
                 continue
@@ -328,10 +328,10 @@
                 if await self._resolve_conflict(transaction, exc):
                     return
                 break
-        deposed = self.phase is not WriterPhase.STOPPED
-        self.settle(batch, DeposedError())
-        if deposed:
-            self.on_deposed()
+        lost = self.phase is not WriterPhase.STOPPED
+        self.settle(batch, LeadershipLostError())
+        if lost:
+            self.on_leadership_lost()
 
     async def _complete(self, transaction: Transaction, revision: int) -> bool:
         """It is carried out. False if the lead is lost."""
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -32,10 +32,10 @@
     """Sends direct orders, one request at a time for each machine."""
 
     def __init__(
-        self, source: OrderSource, may_act: Callable[[], bool], connections: int, rate: float
+        self, source: OrderSource, is_leader: Callable[[], bool], connections: int, rate: float
     ) -> None:
         self.source = source
-        self.may_act = may_act
+        self.is_leader = is_leader
         self.loop = asyncio.get_running_loop()
         self.connections = connections  # at most, at once
         self.under_way: dict[str, asyncio.Task[None]] = {}  # by machine
@@ -51,7 +51,7 @@
         """
         if deferrable and self.deferrable.wait(1, self.loop.time()) > 0:
             return
-        if machine.addr and machine.name not in self.under_way and self.may_act():
+        if machine.addr and machine.name not in self.under_way and self.is_leader():
             self.under_way[machine.name] = self.loop.create_task(self._deliver(machine))
 
     async def _deliver(self, machine: Machine) -> None:
@@ -66,14 +66,14 @@
 
     async def _deliver_now(self, machine: Machine) -> None:
         message = self.source.direct_message(machine)
-        if message is None or not self.may_act():
+        if message is None or not self.is_leader():
             return
         status, raw = await self._client(machine.addr).request(
             "POST", "/commands", codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
         )
         if status != 200:
             log.info("direct orders to %s refused: %d", machine.name, status)
-        elif self.may_act():
+        elif self.is_leader():
             self.source.direct_answer(machine, report_from_wire(codec.cbor_map(raw)))
 
     def _client(self, addr: str) -> HttpClient:
@@ -81,7 +81,7 @@
         hundreds of machines do not use up the sockets."""
         client = self._clients.get(addr)
         if client is None:
-            client = self._clients[addr] = HttpClient(addr, keep=1, may_send=self.may_act)
+            client = self._clients[addr] = HttpClient(addr, keep=1, may_send=self.is_leader)
         self._clients.move_to_end(addr)
         unused = [a for a, other in self._clients.items() if not other.busy and other is not client]
         for other in unused[: max(0, len(self._clients) - self.connections)]:
--- a/peathall/workers/exits.py
+++ b/peathall/workers/exits.py
@@ -41,11 +41,11 @@
         """The machine is gone, or has forgotten all of them."""
         self._by_machine.pop(machine, None)
 
-    def forgettable(self, machine: str, token: int) -> Iterable[ExitedAttempt]:
+    def forgettable(self, machine: str, fencing_token: int) -> Iterable[ExitedAttempt]:
         """Those whose end is stored, and whose starts can't arrive any more: they went out under an
         older token than the one that answers carry now."""
         for known in self.of(machine).values():
-            if self._end_is_stored(known) and known.direct_token < token:
+            if self._end_is_stored(known) and known.direct_token < fencing_token:
                 yield known
 
     def _end_is_stored(self, known: ExitedAttempt) -> bool:
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -19,9 +19,9 @@
     sooner than its silence alone would allow.
     """
 
-    def __init__(self, health: MachineHealth, may_act: Callable[[], bool]) -> None:
+    def __init__(self, health: MachineHealth, is_leader: Callable[[], bool]) -> None:
         self.health = health
-        self.may_act = may_act
+        self.is_leader = is_leader
         self._under_way: dict[str, asyncio.Task[None]] = {}  # by machine
 
     def tick(self, now: float) -> None:
@@ -40,7 +40,7 @@
                 self._under_way[machine.name] = asyncio.create_task(self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
-        client = HttpClient(machine.addr, keep=0, may_send=self.may_act)
+        client = HttpClient(machine.addr, keep=0, may_send=self.is_leader)
         try:
             for _ in range(constants.PROBE_TRIES):
                 if await self._answers(client):
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -13,7 +13,7 @@
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import WorkerSettings
-from peathall.leadership.lease import token
+from peathall.leadership.lease import fencing_token
 from peathall.protocol.heartbeats import (
     Report,
     TaskReport,
@@ -50,7 +50,7 @@
         cluster: ClusterState,
         settings: WorkerSettings,
         now: float,
-        may_act: Callable[[], bool],
+        is_leader: Callable[[], bool],
         listener: WorkerListener,
         connections: int,
         deferrable_rate: float = constants.DEFERRABLE_ORDERS,
@@ -59,13 +59,13 @@
         self.cluster = cluster
         self.faults = FaultTracker(cluster)
         self.settings = settings
-        self.may_act = may_act
+        self.is_leader = is_leader
         self.listener = listener
         self.loop = asyncio.get_running_loop()
-        self.took_over = now
+        self.failover_at = now
         self.health = MachineHealth(cluster, settings, now, elsewhere)
-        self.delivery = DirectDelivery(self, may_act, connections, deferrable_rate)
-        self.probes = LivenessProbes(self.health, may_act)
+        self.delivery = DirectDelivery(self, is_leader, connections, deferrable_rate)
+        self.probes = LivenessProbes(self.health, is_leader)
         self.counter = 0
         # The mandate under which a start was sent directly; such a start may be
         # executed late until the worker has seen a higher one.
@@ -78,12 +78,12 @@
     @property
     def base(self) -> int:
         """The lowest token of this term."""
-        return token(self.cluster.term, 0)
+        return fencing_token(self.cluster.term, 0)
 
     @property
-    def token(self) -> int:
+    def fencing_token(self) -> int:
         """The token of answers now."""
-        return token(self.cluster.term, self.counter)
+        return fencing_token(self.cluster.term, self.counter)
 
     # --- check-ins -----------------------------------------------------------
     def checkin(self, report: Report, now: float) -> tuple[int, dict[str, Any] | None]:
@@ -103,7 +103,7 @@
         if machine.checked == (0, -1):
             machine.came = machine.idle_since = now
         machine.checked = order
-        if report.token >= machine.answered[0]:
+        if report.fencing_token >= machine.answered[0]:
             if machine.deaf_since is not None:
                 log.info("machine %s hears us again", machine.name)
                 self.listener.state_changed()
@@ -115,15 +115,15 @@
             log.info("machine %s did not get our last answer", machine.name)
         if order > (machine.session, machine.seq):
             self._apply(machine, report, now, conclusive=True)
-            if not machine.confirmed and report.token >= self.base:
+            if not machine.confirmed and report.fencing_token >= self.base:
                 machine.confirmed = True
                 self.listener.machine_confirmed(machine)
                 log.info("machine %s confirmed, %d tasks", machine.name, len(machine.attempts))
                 self.listener.state_changed()
         # A check-in overtaken by a direct answer is still answered, but tells nothing.
         machine.last_answer = now
-        machine.answered = (self.token, now)
-        return 200, checkin_answer(self.token, self._orders(machine, now, direct=False))
+        machine.answered = (self.fencing_token, now)
+        return 200, checkin_answer(self.fencing_token, self._orders(machine, now, direct=False))
 
     def _apply(self, machine: Machine, report: Report, now: float, conclusive: bool) -> None:
         """Learn what a newer report says; only a `conclusive` one proves absence."""
@@ -143,10 +143,10 @@
         present = self._note_tasks(machine, report, now)
         if noticed:
             self.listener.machine_noticed(machine, now)
-        if conclusive and report.token >= self.base:
+        if conclusive and report.fencing_token >= self.base:
             for attempt in list(machine.attempts.values()):
                 if attempt not in present:
-                    self._absent(machine, attempt, report.token, now)
+                    self._absent(machine, attempt, report.fencing_token, now)
 
     def _new_session(self, machine: Machine, report: Report, now: float) -> None:
         """The worker's lease ended: it killed all its tasks and forgot them. That says nothing of
@@ -194,7 +194,9 @@
             else:
                 unknown_tasks.append((item.job, item.task, item.attempt))
         self.exits.replace(machine.name, exits)
-        if unknown_tasks and report.token >= self.base:  # else perhaps an old report, come late
+        if (
+            unknown_tasks and report.fencing_token >= self.base
+        ):  # else perhaps an old report, come late
             log.error("machine %s runs unknown tasks: %s", machine.name, unknown_tasks)
         self.unknown_tasks[machine.name] = unknown_tasks
         return present
@@ -237,7 +239,7 @@
             if attempt.phase in (AttemptPhase.FETCHING, AttemptPhase.SENT) and done:
                 self._saw_image(machine, attempt)
         elif item.attempt >= self.base:
-            direct_token = told.direct_token if told is not None else self.token
+            direct_token = told.direct_token if told is not None else self.fencing_token
         if job is not None and done and job.phase is JobPhase.ACTIVE:
             self._done(job, item.task, machine, now)
         if attempt is not None and attempt.phase is not AttemptPhase.GONE:
@@ -370,7 +372,7 @@
                 attempt.enter(AttemptPhase.SENT, now)
                 attempt.session = machine.session
                 if direct:
-                    self.direct[attempt] = self.token
+                    self.direct[attempt] = self.fencing_token
         return orders
 
     def _may_start(self, attempt: Attempt) -> bool:
@@ -384,13 +386,13 @@
     def _forget_orders(self, machine: Machine, most: int) -> list[dict[str, Any]]:
         """For ended attempts that their machine need not report any more."""
         # Under our own token, the next tick raises it.
-        known = islice(self.exits.forgettable(machine.name, self.token), max(0, most))
+        known = islice(self.exits.forgettable(machine.name, self.fencing_token), max(0, most))
         return [forget_order(x.job, x.task, x.number) for x in known]
 
     def direct_message(self, machine: Machine) -> dict[str, Any] | None:
         """The orders that are due now, or None."""
         orders = self._orders(machine, self.loop.time(), direct=True)
-        return direct_orders(self.token, machine.session, orders) if orders else None
+        return direct_orders(self.fencing_token, machine.session, orders) if orders else None
 
     def direct_answer(self, machine: Machine, report: Report) -> None:
         """What the machine reports after direct orders, unless a later report came first."""
@@ -412,7 +414,7 @@
             unproven = machine.phase is MachinePhase.UNHEARD and not machine.vouched
             if not machine.attempts and not unproven:
                 continue
-            since = max(machine.last_answer, self.took_over)
+            since = max(machine.last_answer, self.failover_at)
             if now - since > self.settings.lapse_s:
                 log.info("lease of machine %s has lapsed", machine.name)
                 machine.confirmed = False
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -116,7 +116,7 @@
     """It runs, idle, and reports within seconds; its age once made it 'never came up'."""
 
     async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
-        now = workers.took_over
+        now = workers.failover_at
         add(workers, 1, now + 1.0)
         fleet._compare([listed(1), listed(2), listed(3, "starting", 20.0)], now + 1.0)
         assert not fleet._to_delete(now + 1.0)
@@ -128,7 +128,9 @@
             for number in (1, 2) if second < 5 else (1,):
                 machine = workers.cluster.machines[f"m-{number}"]
                 seq = machine.seq + 1
-                workers.checkin(report(1, seq, workers.token, machine=machine.name), now + second)
+                workers.checkin(
+                    report(1, seq, workers.fencing_token, machine=machine.name), now + second
+                )
         assert idle.usable
         assert "m-4" not in workers.cluster.machines
         # One that stays silent was perhaps deleted by the leader before; it goes by its silence.
@@ -138,7 +140,9 @@
             for number in (1, 2):
                 machine = workers.cluster.machines[f"m-{number}"]
                 seq = machine.seq + 1
-                workers.checkin(report(1, seq, workers.token, machine=machine.name), now + second)
+                workers.checkin(
+                    report(1, seq, workers.fencing_token, machine=machine.name), now + second
+                )
         assert [m.name for m in fleet._to_delete(now + 30.0)] == ["m-4"]
 
     play(test)
@@ -149,18 +153,18 @@
     keeps its lease, so it may act; as soon as a third had reported, the others were deleted."""
 
     async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
-        now = workers.took_over
+        now = workers.failover_at
         machines = [add(workers, number, now + 1.0) for number in range(10)]
         workers.tick(now + 1.0)
         woke = now + 29.0
         for machine in machines[:4]:
-            workers.checkin(report(1, 3, workers.token, machine=machine.name), woke)
+            workers.checkin(report(1, 3, workers.fencing_token, machine=machine.name), woke)
         assert not fleet._to_delete(woke + 0.1)
         assert not workers.health.out_of_reach(woke + 0.1)
         for second in range(1, 17):
             workers.tick(woke + second)
             for machine in machines[:9]:
-                seen = report(1, machine.seq + 1, workers.token, machine=machine.name)
+                seen = report(1, machine.seq + 1, workers.fencing_token, machine=machine.name)
                 workers.checkin(seen, woke + second)
         assert [m.name for m in fleet._to_delete(woke + 16.5)] == [machines[9].name]
 
@@ -171,7 +175,7 @@
     """They were held for five minutes for teams with guarantees, in a cloud that was full."""
 
     async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
-        now = workers.took_over
+        now = workers.failover_at
         for number in range(2 * constants.MAKE_WAY):
             add(workers, number, now)
             workers.cluster.machines[f"m-{number}"].idle_since = (
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -16,7 +16,7 @@
 from peathall.protocol.codec import json_size
 from peathall.protocol.jobs import Standing, job_status, spec_to_record
 from peathall.store.client import Put
-from peathall.store.writer import LeadRecord, Writer
+from peathall.store.writer import GuardKey, Writer
 from tests.unit.test_planner import spec
 from tests.unit.test_store import LIMITS, FakeStore
 
@@ -31,7 +31,7 @@
     store.write("lead", {"term": term})
     cluster = ClusterState(term, 0)
     cluster.types = {"g": KIND}
-    shown = LeadRecord("lead", {"term": term}, store.revision, None)
+    shown = GuardKey("lead", {"term": term}, store.revision, None)
     writer = Writer(client, limits, shown, lambda: True, lambda: None)
     params = msgspec.structs.replace(PARAMS, state=limits)
     return Jobs(cluster, params, client, writer, lambda: None, lambda job: None, lambda: 0.0)
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -34,7 +34,7 @@
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, DutyStatus
 from peathall.http.message import Request, Response
-from peathall.leadership.election import LeadValue, TermRecord
+from peathall.leadership.election import LeaderRecord, TermRecord
 from peathall.operator_config.file import load_operator
 from peathall.operator_config.settings import Operator
 from peathall.protocol.cloud import machine_type_from_wire, machine_type_to_wire
@@ -101,7 +101,7 @@
         self.answer = answer
         self.asked: list[Any] = []
 
-    def may_act(self) -> bool:
+    def is_active(self) -> bool:
         return True
 
     async def accept(self, spec: Any) -> Any:
@@ -126,7 +126,7 @@
     return {
         "worker": (report.machine, report.addr, report.type, report.zone, report.spot),
         "order": (report.session, report.seq),
-        "token": report.token,
+        "token": report.fencing_token,
         "notice_s": report.notice_s,
         "tasks": [
             (t.job, t.task, t.attempt, t.state.name, t.why and t.why.name, t.saved)
@@ -1094,7 +1094,7 @@
 MESSAGES: list[tuple[msgspec.Struct, Any]] = [
     (TermRecord(4, True), {"n": 4, "cells": True}),
     (TermRecord(4), {"n": 4}),
-    (LeadValue("hall-1", 4, 7), {"member": "hall-1", "term": 4, "lease": 7}),
+    (LeaderRecord("hall-1", 4, 7), {"member": "hall-1", "term": 4, "lease": 7}),
     (rental(), RENTAL),
     (holder(), HOLDER),
     (duties.TokenRecord(3, [handover()]), {"token": 3, "latest": [HANDOVER]}),
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -11,7 +11,7 @@
 from peathall.config.platform import StateSettings
 from peathall.jobs.follower import Fallback
 from peathall.jobs.records import DONE, block_tasks, done_key, done_record, to_value
-from peathall.leadership.lease import LeadLease, first_attempt, token
+from peathall.leadership.lease import LeaderLease, fencing_token, first_attempt
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
 from peathall.protocol.codec import json_size
 from peathall.store.client import Change as StoreChange
@@ -26,7 +26,7 @@
 )
 from peathall.store.shared_records import SharedRecordWriter
 from peathall.store.token_bucket import Budget
-from peathall.store.writer import Change, DeposedError, LeadRecord, Writer
+from peathall.store.writer import Change, GuardKey, LeadershipLostError, Writer
 
 
 class FakeStore:
@@ -92,8 +92,8 @@
 LIMITS = StateSettings(100.0, 50.0, 8.0, 12)
 
 
-def lead(version: int = 1) -> LeadRecord:
-    return LeadRecord("lead", {"member": "a"}, version, None)
+def lead(version: int = 1) -> GuardKey:
+    return GuardKey("lead", {"member": "a"}, version, None)
 
 
 def play(store: FakeStore, puts: list[Put]) -> list[Any]:
@@ -217,7 +217,7 @@
     store = FakeStore()
     store.write("lead", {"member": "other"})
     results = play(store, [Put("a", 1)])
-    assert isinstance(results[0], DeposedError)
+    assert isinstance(results[0], LeadershipLostError)
     assert "a" not in store.data
 
 
@@ -235,18 +235,18 @@
 
 
 def test_the_lead_lease_counts_from_the_sending() -> None:
-    lease = LeadLease(5.0, 100.0)
-    assert lease.alive(104.6)
-    assert not lease.alive(104.75)
-    lease.renewed(103.0)
-    lease.renewed(101.0)  # an older answer that came late shortens nothing
-    assert lease.alive(107.6)
-    assert not lease.alive(108.0)
+    lease = LeaderLease(5.0, 100.0)
+    assert lease.is_valid(104.6)
+    assert not lease.is_valid(104.75)
+    lease.record_renewal(103.0)
+    lease.record_renewal(101.0)  # an older answer that came late shortens nothing
+    assert lease.is_valid(107.6)
+    assert not lease.is_valid(108.0)
 
 
 def test_tokens_and_attempts_of_a_later_term_are_higher() -> None:
-    assert token(1, 2**24 - 1) < token(2, 0)
-    assert first_attempt(2) == token(2, 0)
+    assert fencing_token(1, 2**24 - 1) < fencing_token(2, 0)
+    assert first_attempt(2) == fencing_token(2, 0)
 
 
 def test_records_stay_under_the_limit() -> None:
@@ -414,7 +414,7 @@
         assert all(json_size(store.data[str(key)][0]) <= 8 * 1024 for key in set(results))
         writer.stop()
         await task
-        with pytest.raises(DeposedError):
+        with pytest.raises(LeadershipLostError):
             await shared.add({}, {})
 
     asyncio.run(run())
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -34,14 +34,14 @@
 from peathall.jobs.follower import Fallback
 from peathall.jobs.live_index import Live
 from peathall.jobs.service import Jobs
-from peathall.leadership.election import Election, Mandate
-from peathall.leadership.lease import LeadLease, first_attempt
+from peathall.leadership.election import Election, LeaderTerm
+from peathall.leadership.lease import LeaderLease, first_attempt
 from peathall.placement.rounds import RoundRecords
 from peathall.placement.views import Start
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, Standing, spec_from_record
 from peathall.store.client import Item, Put
-from peathall.store.writer import LeadRecord
+from peathall.store.writer import GuardKey
 from peathall.workers.failing_jobs import Suspects
 from peathall.workers.faults import FaultTracker
 from peathall.workers.image_cache import Caches
@@ -266,7 +266,7 @@
     """hall-1 stands for election until it leads."""
     won = asyncio.Event()
 
-    async def lead(mandate: Mandate) -> None:
+    async def lead(mandate: LeaderTerm) -> None:
         won.set()
         await asyncio.Event().wait()
 
@@ -327,7 +327,7 @@
         store.write("lead", LEAD)
         client: Any = store
 
-        async def lead(mandate: Mandate) -> None:
+        async def lead(mandate: LeaderTerm) -> None:
             raise AssertionError
 
         gate = DutyGate(client, Mode.OFF)
@@ -628,8 +628,8 @@
     store.write("lead", LEAD)
     store.write(key, HOLDER)
     holder = HolderRecord(member="hall-1", token=5, lease=71, since=WALL, vacant_s=2.5)
-    record = LeadRecord(key, HOLDER, store.revision, LEASE)
-    tenure = Tenure(holder, record, LeadLease(20.0, 0.0))
+    record = GuardKey(key, HOLDER, store.revision, LEASE)
+    tenure = Tenure(holder, record, LeaderLease(20.0, 0.0))
     claim: Any = SimpleNamespace(may_act=lambda: True, may_begin=lambda: True, lost=lambda: None)
     executor = DutyExecutor(duty, claim, tenure, store, LIMITS, cloud)
     task = asyncio.create_task(executor.run())
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -23,7 +23,7 @@
     WorkerSettings,
 )
 from peathall.http.message import Request
-from peathall.leadership.lease import first_attempt, token
+from peathall.leadership.lease import fencing_token, first_attempt
 from peathall.peers.service import Peers
 from peathall.placement.service import Placement
 from peathall.placement.views import MachineView
@@ -110,9 +110,9 @@
         machine = known(workers)
         assert machine.usable
         workers.tick(7.0)
-        assert workers.checkin(report(1, 3, workers.token - 1), 11.0)[0] == 200
+        assert workers.checkin(report(1, 3, workers.fencing_token - 1), 11.0)[0] == 200
         assert machine.usable  # it has seen the answer to its last report
-        answered = workers.token
+        answered = workers.fencing_token
         workers.tick(12.0)
         workers.checkin(report(1, 4, answered - 1), 17.0)
         assert not machine.usable
@@ -121,7 +121,7 @@
         workers.checkin(report(2, 5, answered - 1), 35.0)
         assert not machine.usable
         workers.tick(36.0)
-        workers.checkin(report(2, 6, workers.token), 40.0)
+        workers.checkin(report(2, 6, workers.fencing_token), 40.0)
         assert machine.usable
 
     play(test)
@@ -146,15 +146,19 @@
     def test(workers: Workers) -> None:
         machine = known(workers)
         attempt = booked(workers, workers.cluster.new_attempt_number())
-        workers.checkin(report(1, 3, workers.token, [running(attempt)]), 10.0)
-        for copy in (report(1, 2, workers.token), report(1, 3, workers.token), report(0, 9, 0)):
+        workers.checkin(report(1, 3, workers.fencing_token, [running(attempt)]), 10.0)
+        for copy in (
+            report(1, 2, workers.fencing_token),
+            report(1, 3, workers.fencing_token),
+            report(0, 9, 0),
+        ):
             assert workers.checkin(copy, 30.0) == (503, None)
         assert (machine.last_answer, machine.last_heard) == (10.0, 10.0)
         assert attempt.phase is AttemptPhase.RUNNING
         workers.tick(10.0 + workers.settings.lapse_s + 0.1)
         assert attempt.phase is AttemptPhase.GONE
         workers.machine_gone(machine, 40.0, "deleted")
-        assert workers.checkin(report(1, 9, workers.token), 41.0) == (503, None)
+        assert workers.checkin(report(1, 9, workers.fencing_token), 41.0) == (503, None)
         assert not workers.cluster.machines
 
     play(test)
@@ -165,12 +169,12 @@
 
     def test(workers: Workers) -> None:
         attempt = booked(workers, first_attempt(TERM - 1) + 1)  # ran in session 2 all along
-        workers.checkin(report(1, 9, token(TERM - 1, 3)), 1.0)
+        workers.checkin(report(1, 9, fencing_token(TERM - 1, 3)), 1.0)
         assert attempt.phase is AttemptPhase.SENT
-        workers.checkin(report(2, 12, token(TERM - 1, 8), [running(attempt)]), 2.0)
+        workers.checkin(report(2, 12, fencing_token(TERM - 1, 8), [running(attempt)]), 2.0)
         assert attempt.phase is AttemptPhase.RUNNING
         # Seen in session 2, it is gone in session 3, whatever token that shows.
-        workers.checkin(report(3, 20, token(TERM - 1, 8)), 30.0)
+        workers.checkin(report(3, 20, fencing_token(TERM - 1, 8)), 30.0)
         assert attempt.phase is AttemptPhase.GONE
 
     play(test)
@@ -232,7 +236,7 @@
         raw = {"hall": "m-1", "endpoint": "10.1.0.1:9", "build": "g", "ward": "a", "tenure": 1}
 
         def hear(seq: int, parcels: list[dict[str, object]]) -> None:
-            said = raw | {"tick": seq, "mandate": workers.token, "parcels": parcels}
+            said = raw | {"tick": seq, "mandate": workers.fencing_token, "parcels": parcels}
             workers.checkin(report_from_wire(said), float(seq))
 
         for seq in (11, 12, 13):
@@ -257,7 +261,7 @@
         machine = known(workers)  # its last answer left at 6 s
         for number in range(2, 6):  # others, so that the fault is not ours
             for seq, at in ((1, 1.0), (2, 6.0)):
-                workers.checkin(report(1, seq, workers.token, machine=f"m-{number}"), at)
+                workers.checkin(report(1, seq, workers.fencing_token, machine=f"m-{number}"), at)
         workers.tick(7.0)
         workers.checkin(report(1, 9, 0, machine="m-9"), 8.0)
         workers.checkin(report(1, 3, 0), 8.0)
@@ -328,7 +332,7 @@
                            None, False)
                 for x in told
             ]  # fmt: skip
-            answer = workers.checkin(report(1, seq, workers.token, seen), 5.0 + seq)[1]
+            answer = workers.checkin(report(1, seq, workers.fencing_token, seen), 5.0 + seq)[1]
             assert answer is not None
             assert json_size(answer) < 60 * 1024
             told += answer["writs"]
