--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -18,7 +18,7 @@
     listed_from_wire,
     machine_type_from_wire,
 )
-from peathall.store.token_bucket import Budget
+from peathall.store.token_bucket import TokenBucket
 
 
 class CloudClient:
@@ -29,7 +29,7 @@
     ) -> None:
         self.http = HttpClient(addr, may_send=may_send)
         self.loop = asyncio.get_running_loop()
-        self.budget = Budget(settings.rps * share * 0.9, settings.rps * share)
+        self.budget = TokenBucket(settings.rps * share * 0.9, settings.rps * share)
 
     async def _ask(self, method: str, path: str, value: Any = None, keep: float = 0.0) -> Any:
         while (pause := self.budget.wait(1, self.loop.time(), keep)) > 0:
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -35,7 +35,7 @@
 from peathall.jobs.service import can_never_run
 from peathall.leadership.lease import LeaderLease
 from peathall.protocol.jobs import JobSpec, spec_from_record, spec_to_record
-from peathall.store.client import ConflictError, Drop, Item, Put, StoreError
+from peathall.store.client import ConflictError, Delete, KeyValue, Put, StoreError
 from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.cells")
@@ -149,7 +149,7 @@
         self.background = BackgroundTasks()
 
     # --- records -------------------------------------------------------------
-    def load(self, items: list[Item], now: float) -> None:
+    def load(self, items: list[KeyValue], now: float) -> None:
         """After a take-over, before the records of rounds: what is borrowed, held until its home
         has granted it to this leader."""
         for item in items:
@@ -181,7 +181,7 @@
         record = BorrowedRecord(held.epoch, held.home, phase, spec_to_record(held.spec))
         return await self._commit(held, Put(held.key, to_value(record)), phase)
 
-    async def _commit(self, held: BorrowedJob, op: Put | Drop, phase: BorrowPhase) -> bool:
+    async def _commit(self, held: BorrowedJob, op: Put | Delete, phase: BorrowPhase) -> bool:
         conditions: dict[str, int] = {}
         if phase is BorrowPhase.RESERVED:
             # A job of our own users, accepted by whatever controller, is never borrowed as well.
@@ -317,13 +317,13 @@
     async def _drop(self, held: BorrowedJob) -> None:
         if held.storing or held.phase is BorrowPhase.RELEASED:
             return
-        if not await self._commit(held, Drop(held.key), BorrowPhase.RELEASED):
+        if not await self._commit(held, Delete(held.key), BorrowPhase.RELEASED):
             return  # tried again with the next tick
         del self.borrowed[held.spec.id]
         self.cluster.jobs.pop(held.spec.id, None)
         self.room.release(held.spec)
         for key in held.job.done_keys:
-            self.writer.offer_drop(key)
+            self.writer.defer_delete(key)
 
     # --- its end -------------------------------------------------------------
     def finish(self, job: Job) -> None:
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -33,7 +33,7 @@
 from peathall.jobs.background import BackgroundTasks
 from peathall.leadership.lease import first_attempt
 from peathall.protocol.jobs import spec_to_record
-from peathall.store.client import ConflictError, Drop, Item, Put, StoreError
+from peathall.store.client import ConflictError, Delete, KeyValue, Put, StoreError
 from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.cells")
@@ -126,14 +126,14 @@
         self._epoch = first_attempt(cluster.term)  # no two terms share an epoch
 
     # --- records -------------------------------------------------------------
-    def load(self, items: list[Item], now: float) -> None:
+    def load(self, items: list[KeyValue], now: float) -> None:
         """After a take-over. An earlier leader granted nothing after now."""
         for item in items:
             self.writer.versions[item.key] = item.version
             record = msgspec.convert(item.value, HandoffRecord)
             job = self.cluster.jobs.get(item.key.removeprefix(HANDOFF))
             if job is None:
-                self.writer.offer_drop(item.key)  # archived, which comes after the handoff's end
+                self.writer.defer_delete(item.key)  # archived, which comes after the handoff's end
                 continue
             handoff = Handoff(job, record.cell, record.epoch, record.phase)
             if record.phase is HandoffPhase.GRANTED:
@@ -209,7 +209,7 @@
         handoff.closing = True
         try:
             if handoff.key in self.writer.versions:
-                await self.writer.submit([Drop(handoff.key)])
+                await self.writer.submit([Delete(handoff.key)])
         except (StoreError, ConflictError) as exc:
             log.error("the end of the handoff of %s: %s", handoff.job.spec.id, exc)
             handoff.closing = False  # tried again with the next tick
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -44,7 +44,7 @@
 from peathall.placement.quotas import TeamLimits
 from peathall.placement.views import JobView, MachineView, Plan
 from peathall.protocol.jobs import JobSpec
-from peathall.store.client import Item, Put, StateClient
+from peathall.store.client import KeyValue, Put, StoreClient
 from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.cells")
@@ -70,8 +70,8 @@
 class CellRecords:
     """What a new leader reads."""
 
-    handoffs: list[Item]
-    borrowed: list[Item]
+    handoffs: list[KeyValue]
+    borrowed: list[KeyValue]
 
 
 class CellLeader:
@@ -126,7 +126,7 @@
 
     # --- life ----------------------------------------------------------------
     @staticmethod
-    async def read_records(store: StateClient) -> CellRecords:
+    async def read_records(store: StoreClient) -> CellRecords:
         """All records of handoffs; StoreError if they can't be read."""
         handoffs, _ = await store.scan(HANDOFF)
         borrowed, _ = await store.scan(BORROWED)
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -35,7 +35,7 @@
 from peathall.protocol.cloud import machine_type_from_wire
 from peathall.protocol.heartbeats import report_from_wire, task_reports
 from peathall.protocol.jobs import JobSpec, job_from_wire, spec_from_record, spec_to_record
-from peathall.store.client import StateClient, StoreError
+from peathall.store.client import StoreClient, StoreError
 
 if TYPE_CHECKING:
     from peathall.duties.service import Duties
@@ -69,7 +69,7 @@
         settings = self.settings
         self.loop = asyncio.get_running_loop()
         mode = self.operator.duty_mode
-        self.store = StateClient(
+        self.store = StoreClient(
             settings.services.state,
             settings.params.state,
             1 + len(settings.peers),
@@ -240,7 +240,7 @@
         """Neither store nor peers answer: others may serve, this controller can't."""
         return (
             bool(self.settings.peers)
-            and not self.store.fresh()
+            and not self.store.is_fresh()
             and not self.peers.heard_any(now, constants.PEER_FRESH_S)
         )
 
@@ -257,7 +257,7 @@
 
     def _steward(self) -> str | None:
         """Who leads, as far as that is known now: a name from before a cut helps nobody."""
-        name = self.election.leader if self.store.fresh() else self.peers.leading()
+        name = self.election.leader if self.store.is_fresh() else self.peers.leading()
         return None if name == self.settings.name else name
 
     async def _checkin(self, request: Request) -> Response:
--- a/peathall/duties/board.py
+++ b/peathall/duties/board.py
@@ -9,7 +9,7 @@
 
 from peathall import constants
 from peathall.duties.model import HOLDER, MARK, PREFIX, Duty, HolderRecord
-from peathall.store.client import Item, StateClient, StoreError
+from peathall.store.client import KeyValue, StoreClient, StoreError
 
 log = logging.getLogger("peathall.duties")
 
@@ -17,7 +17,7 @@
 class DutyBoard:
     """The records of holders and the mark, kept by one watch for all duties."""
 
-    def __init__(self, store: StateClient) -> None:
+    def __init__(self, store: StoreClient) -> None:
         self.store = store
         self.loop = asyncio.get_running_loop()
         self.versions: dict[str, int] = {}
@@ -49,7 +49,7 @@
                 log.debug("reading who holds what: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
-    def _load(self, items: list[Item]) -> None:
+    def _load(self, items: list[KeyValue]) -> None:
         for key in self.versions.keys() - {item.key for item in items}:
             self._apply(key, None, 0)
         for item in items:
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -27,7 +27,7 @@
     to_value,
 )
 from peathall.leadership.lease import LeaderLease
-from peathall.store.client import ConflictError, LeaseGoneError, Put, StateClient, StoreError
+from peathall.store.client import ConflictError, LeaseExpiredError, Put, StoreClient, StoreError
 from peathall.store.writer import GuardKey
 
 log = logging.getLogger("peathall.duties")
@@ -49,7 +49,7 @@
         self,
         duty: Duty,
         name: str,
-        store: StateClient,
+        store: StoreClient,
         board: DutyBoard,
         lease_s: float,
         wall: Callable[[], float],
@@ -143,7 +143,7 @@
         puts.append(Put(self.duty.token_key, to_value(counted)))
         try:
             version = await self.store.commit(conditions, [*puts])
-        except (ConflictError, LeaseGoneError):
+        except (ConflictError, LeaseExpiredError):
             await self._end(lease_id)
             self._enter(DutyPhase.FOLLOWING)
             return
@@ -180,7 +180,7 @@
                 await self.store.renew(tenure.holder.lease, pause)
                 tenure.lease.record_renewal(sent)
                 self._enter(DutyPhase.HOLDING)
-            except LeaseGoneError:
+            except LeaseExpiredError:
                 log.info("the lease on %s is gone", self.duty.value)
                 return
             except StoreError as exc:
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -29,10 +29,10 @@
 from peathall.leadership.election import LEADER_KEY
 from peathall.store.client import (
     ConflictError,
-    Drop,
-    InvalidError,
+    Delete,
+    InvalidTransactionError,
     Put,
-    StateClient,
+    StoreClient,
     StoreError,
 )
 from peathall.store.writer import LeadershipLostError, Writer
@@ -57,7 +57,7 @@
         duty: Duty,
         claim: DutyClaim,
         tenure: Tenure,
-        store: StateClient,
+        store: StoreClient,
         limits: StateSettings,
         cloud: CloudActions,
         checkpoint: Checkpoint = no_checkpoint,
@@ -69,7 +69,7 @@
         self.cloud = cloud
         self.checkpoint = checkpoint
         self.writer = Writer(
-            store, limits, tenure.record, claim.may_act, claim.lost, fence_doubts=True
+            store, limits, tenure.record, claim.may_act, claim.lost, fence_unknown_outcomes=True
         )
         self.adopted = asyncio.Event()
         self.acts: dict[str, asyncio.Task[ActAnswer]] = {}  # under way, by name
@@ -153,14 +153,14 @@
         """A change of the store alone: its commit is the action."""
         work = request.write
         assert work is not None
-        ops: list[Put | Drop] = [Put(put.key, put.value) for put in work.puts]
-        ops += [Drop(key) for key in work.drops]
+        ops: list[Put | Delete] = [Put(put.key, put.value) for put in work.puts]
+        ops += [Delete(key) for key in work.drops]
         conditions = work.conditions | {LEADER_KEY: request.lead_version}
         try:
             revision = await self.writer.submit(ops, conditions)
         except ConflictError as exc:
             return ActAnswer(Outcome.CONFLICT, why=str(exc), failed=exc.failed)
-        except InvalidError as exc:
+        except InvalidTransactionError as exc:
             return ActAnswer(Outcome.INVALID, why=str(exc))
         for op in ops:
             self.writer.versions.pop(op.key, None)  # whoever asks names the versions
@@ -186,7 +186,7 @@
         while (answer := await self._carry_out(record)) is None:
             await asyncio.sleep(constants.TICK_S)
         await self.checkpoint("carried out", name)
-        await self.writer.submit([Drop(self.duty.act_prefix + name)])
+        await self.writer.submit([Delete(self.duty.act_prefix + name)])
         return answer
 
     async def _carry_out(self, record: ActRecord) -> ActAnswer | None:
--- a/peathall/duties/gate.py
+++ b/peathall/duties/gate.py
@@ -11,7 +11,7 @@
 from peathall.config.modes import Mode
 from peathall.duties.model import MARK
 from peathall.leadership.election import CampaignTerms
-from peathall.store.client import Put, StateClient
+from peathall.store.client import Put, StoreClient
 
 log = logging.getLogger("peathall.duties")
 
@@ -19,7 +19,7 @@
 class DutyGate:
     """The terms on which this controller stands for election."""
 
-    def __init__(self, store: StateClient, mode: Mode) -> None:
+    def __init__(self, store: StoreClient, mode: Mode) -> None:
         self.store = store
         self.mode = mode
         self._told = False
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -38,7 +38,7 @@
 from peathall.duties.writes import DelegatedWrites
 from peathall.http.client import NoAnswerError
 from peathall.leadership.election import LEADER_KEY, LeaderRecord
-from peathall.store.client import ConflictError, Drop, Item, StateClient, StoreError
+from peathall.store.client import ConflictError, Delete, KeyValue, StoreClient, StoreError
 from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.duties")
@@ -74,7 +74,7 @@
         self,
         settings: Settings,
         own: DutySettings,
-        store: StateClient,
+        store: StoreClient,
         send: Send,
         leads: Callable[[], bool],
         wall: Callable[[], float],
@@ -239,7 +239,7 @@
     async def _nothing_outstanding(self) -> bool:
         """If something is, we may claim duties to finish it."""
         try:
-            items: list[Item] = (await self.store.scan(ACT))[0]
+            items: list[KeyValue] = (await self.store.scan(ACT))[0]
         except StoreError as exc:
             log.debug("reading unfinished actions: %s", exc)
             return False
@@ -254,7 +254,7 @@
             claim.release()
         conditions = {duty.holder_key: 0 for duty in Duty} | {MARK: self.board.mark}
         try:
-            await writer.submit([Drop(MARK)], conditions)
+            await writer.submit([Delete(MARK)], conditions)
         except ConflictError:
             return False
         log.info("duties are off: this leader acts on the cloud itself")
--- a/peathall/duties/status.py
+++ b/peathall/duties/status.py
@@ -6,7 +6,7 @@
 from msgspec import Struct
 
 from peathall.duties.model import MARK, ActRecord, Duty, Handover, HolderRecord, TokenRecord
-from peathall.store.client import Item
+from peathall.store.client import KeyValue
 
 
 class DutyStatus(Struct):
@@ -31,7 +31,7 @@
 
 
 def describe(
-    answered_by: str, items: list[Item], leader: str | None, waiting: dict[str, str]
+    answered_by: str, items: list[KeyValue], leader: str | None, waiting: dict[str, str]
 ) -> DutiesStatus:
     """The status that these records show."""
     values = {item.key: item.value for item in items}
--- a/peathall/duties/writes.py
+++ b/peathall/duties/writes.py
@@ -23,8 +23,8 @@
     StoreWork,
 )
 from peathall.leadership.election import LEADER_KEY
-from peathall.store.client import ConflictError, Drop, InvalidError, Put
-from peathall.store.writer import Batch, Change, Writer
+from peathall.store.client import ConflictError, Delete, InvalidTransactionError, Put
+from peathall.store.writer import Batch, Mutation, Writer
 
 log = logging.getLogger("peathall.duties")
 
@@ -50,22 +50,22 @@
         self.ask = ask
         self.waiting = waiting
         self.direct = False  # the leader writes by itself again
-        self._offered: dict[str, Callable[[], Change | None]] = {}
-        self._again: list[Change] = []  # made, and to be written with the next batch
+        self._offered: dict[str, Callable[[], Mutation | None]] = {}
+        self._again: list[Mutation] = []  # made, and to be written with the next batch
         self._wake = asyncio.Event()
         self._number = 0
 
-    def offer(self, name: str, make: Callable[[], Change | None], must: bool = False) -> None:
+    def defer(self, name: str, make: Callable[[], Mutation | None], bounded: bool = False) -> None:
         """As the writer's: offered again under its name it is still written once."""
         if self.direct:
-            self.writer.offer(name, make, must)
+            self.writer.defer(name, make, bounded)
             return
         self._offered.setdefault(name, make)
         self._wake.set()
 
-    def offer_drop(self, key: str) -> None:
+    def defer_delete(self, key: str) -> None:
         """Delete a record."""
-        self.offer(f"drop {key}", lambda: Change({}, [Drop(key)]))
+        self.defer(f"drop {key}", lambda: Mutation({}, [Delete(key)]))
 
     async def run(self) -> None:
         """Hand over what is offered, until the term is over."""
@@ -81,10 +81,10 @@
         """Nobody holds the duty any more: what waits goes to the leader's writer."""
         self.direct = True
         for name, make in self._offered.items():
-            self.writer.offer(name, make)
+            self.writer.defer(name, make)
         self._offered.clear()
 
-    def _take(self) -> list[Change]:
+    def _take(self) -> list[Mutation]:
         batch = Batch(self.writer.limits)
         self._again = [change for change in self._again if not batch.add(change)]
         for name in list(self._offered):
@@ -95,7 +95,7 @@
                 self._again.append(change)
         return batch.changes
 
-    def _request(self, batch: list[Change]) -> ActRequest:
+    def _request(self, batch: list[Mutation]) -> ActRequest:
         self._number += 1
         conditions: dict[str, int] = {}
         puts: list[StoredValue] = []
@@ -111,12 +111,12 @@
         work = StoreWork(f"w-{self.term}-{self._number}", conditions, puts, drops)
         return ActRequest(self.duty, 0, self.term, self.writer.lead.version, write=work)
 
-    async def _hand_over(self, batch: list[Change]) -> None:
+    async def _hand_over(self, batch: list[Mutation]) -> None:
         """Until its fate is known. A try without an answer may have been carried out."""
-        request, doubt = self._request(batch), False
+        request, outcome_unknown = self._request(batch), False
         while True:
             if self.direct:
-                if not (doubt and await self._was_applied(batch, request)):
+                if not (outcome_unknown and await self._was_applied(batch, request)):
                     self.writer.take_over(batch)
                 return
             answer = await self._ask(request)
@@ -124,9 +124,9 @@
                 self.waiting.clear(self.duty)
                 self.writer.applied(batch, answer.revision)
                 return
-            doubt = doubt or answer.outcome is Outcome.PENDING
+            outcome_unknown = outcome_unknown or answer.outcome is Outcome.PENDING
             if answer.outcome in (Outcome.CONFLICT, Outcome.INVALID):
-                if doubt and await self._was_applied(batch, request):
+                if outcome_unknown and await self._was_applied(batch, request):
                     return
                 if answer.outcome is Outcome.INVALID:
                     await self._give_up_invalid(batch, answer)
@@ -137,7 +137,7 @@
                 # Our record was written anew as a fence; or we are replaced, and the term ends.
                 request = self._request(batch)
             self.waiting.note(self.duty, answer.why)
-            await asyncio.sleep(constants.STORE_RETRY_S if doubt else constants.TICK_S)
+            await asyncio.sleep(constants.STORE_RETRY_S if outcome_unknown else constants.TICK_S)
 
     async def _ask(self, request: ActRequest) -> ActAnswer:
         holder = self.holder(self.duty)
@@ -147,7 +147,7 @@
             return ActAnswer(Outcome.REFUSED, why="our lease on the lead is not sure")
         return await self.ask(holder, request.meant_for(holder))
 
-    async def _was_applied(self, batch: list[Change], request: ActRequest) -> bool:
+    async def _was_applied(self, batch: list[Mutation], request: ActRequest) -> bool:
         assert request.write is not None
         ops = [op for change in batch for op in change.ops]
         conditions = request.write.conditions | {LEADER_KEY: request.lead_version}
@@ -156,15 +156,15 @@
             self.writer.applied(batch, revision)
         return revision > 0
 
-    async def _give_up_invalid(self, batch: list[Change], answer: ActAnswer) -> None:
+    async def _give_up_invalid(self, batch: list[Mutation], answer: ActAnswer) -> None:
         log.error("the state service does not take a commit of %s: %s", self.duty.value, answer.why)
         if len(batch) == 1:
-            self.writer.settle(batch, InvalidError(answer.why))
+            self.writer.settle(batch, InvalidTransactionError(answer.why))
             return
         for change in batch:
             await self._hand_over([change])
 
-    def _split(self, batch: list[Change], failed: list[str]) -> None:
+    def _split(self, batch: list[Mutation], failed: list[str]) -> None:
         """A record is not what we thought: fail its change, write the others."""
         bad, rest = self.writer.parted(batch, failed)
         self.writer.settle(bad, ConflictError(failed))
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -17,9 +17,9 @@
 from peathall.jobs.background import BackgroundTasks
 from peathall.protocol.codec import json_size
 from peathall.protocol.jobs import spec_to_record
-from peathall.store.client import Drop, Put, StateClient, StoreError
+from peathall.store.client import Delete, Put, StoreClient, StoreError
 from peathall.store.shared_records import SharedRecordWriter
-from peathall.store.writer import Change, Offers, Writer
+from peathall.store.writer import DeferredWriter, Mutation, Writer
 
 log = logging.getLogger("peathall.jobs")
 
@@ -36,11 +36,11 @@
         self,
         cluster: ClusterState,
         changes_at_once: int,
-        store: StateClient,
+        store: StoreClient,
         writer: Writer,
         new_jobs: SharedRecordWriter,
         background: BackgroundTasks,
-        cleanup: Offers,
+        cleanup: DeferredWriter,
     ) -> None:
         self.cleanup = cleanup  # who archives, and drops what nothing needs
         self.cluster = cluster
@@ -71,7 +71,7 @@
             del self.jobs_by_record[duplicate]
             self.add(job, record_key)
         self.duplicates[job.spec.id] = duplicate
-        self.cleanup.offer(f"duplicate {duplicate}", lambda: self._trim(duplicate))
+        self.cleanup.defer(f"duplicate {duplicate}", lambda: self._trim(duplicate))
 
     def add_end(self, job: Job, record_key: str) -> None:
         """This record holds the job's final state."""
@@ -106,18 +106,18 @@
                 job.record_key = key
                 self.jobs_by_record.setdefault(key, {})[job.spec.id] = None
                 self.duplicates[job.spec.id] = record_key
-            self.cleanup.offer(f"duplicate {record_key}", lambda: self._trim(record_key))
+            self.cleanup.defer(f"duplicate {record_key}", lambda: self._trim(record_key))
         finally:
             self.dividing.discard(record_key)
 
-    def _trim(self, key: str) -> Change | None:
+    def _trim(self, key: str) -> Mutation | None:
         """A record without the jobs that have their record_key elsewhere."""
         if key in self.archiving:
             return None  # written without them anyway; offered again once that is done
         rest = [spec_to_record(self.cluster.jobs[i].spec) for i in self.jobs_by_record.get(key, ())]
         if rest and json_size({"jobs": rest}) > self.writer.value_limit:
             return None  # offered again when one of them is archived
-        change = Change({}, [Put(key, {"jobs": rest}) if rest else Drop(key)])
+        change = Mutation({}, [Put(key, {"jobs": rest}) if rest else Delete(key)])
         return change.then(lambda: self._trimmed(key))
 
     def _trimmed(self, key: str) -> None:
@@ -129,7 +129,7 @@
     def archive_if_over(self, job: Job) -> None:
         """Offer to archive the job, if nothing of it is left."""
         if self.can_go(job) and self.cluster.jobs.get(job.spec.id) is job:
-            self.cleanup.offer(job.record_key, lambda: self._archive_change(job.record_key))
+            self.cleanup.defer(job.record_key, lambda: self._archive_change(job.record_key))
 
     def can_go(self, job: Job) -> bool:
         """Whether it may be archived: while a second record holds it, or is about to, a new leader
@@ -138,7 +138,7 @@
         here = not (job.held or job.borrowed)
         return job.over and not job.attempts and not job.writing and alone and here
 
-    def _archive_change(self, record_key: str) -> Change | None:
+    def _archive_change(self, record_key: str) -> Mutation | None:
         """Some of a record's jobs that are over, and the record without them."""
         if record_key in self.archiving:
             return None  # looked after again once that is done
@@ -157,24 +157,26 @@
         if rest and json_size({"jobs": rest}) > self.writer.value_limit:
             self._divide(record_key, here)
             return None  # looked after again once what is left of the record fits
-        ops: list[Put | Drop] = [Put(records.PAST + job.spec.id, final_value(job)) for job in over]
-        ops.append(Put(record_key, {"jobs": rest}) if rest else Drop(record_key))
+        ops: list[Put | Delete] = [
+            Put(records.PAST + job.spec.id, final_value(job)) for job in over
+        ]
+        ops.append(Put(record_key, {"jobs": rest}) if rest else Delete(record_key))
         # Another controller may have accepted it as well: that record would bring the job back
         # to life after it has been archived. One that we don't know of fails the change.
         keys = [records.JOB + job.spec.id for job in over]
         duplicates = {key: 0 for key in keys if key not in self.writer.versions}
-        ops += [Drop(key) for key in keys if key in self.writer.versions and key != record_key]
+        ops += [Delete(key) for key in keys if key in self.writer.versions and key != record_key]
         self.archiving.add(record_key)
         for job in over:
             job.writing = True
-        change = Change(duplicates, ops)
+        change = Mutation(duplicates, ops)
         change.done.add_done_callback(lambda done: self._archived(record_key, over, done))
         return change
 
     def _archived(self, record_key: str, over: list[Job], done: asyncio.Future[int]) -> None:
         self.archiving.discard(record_key)
         if record_key in self.duplicates.values():
-            self.cleanup.offer(f"duplicate {record_key}", lambda: self._trim(record_key))
+            self.cleanup.defer(f"duplicate {record_key}", lambda: self._trim(record_key))
         for job in over:
             job.writing = False
         if done.cancelled() or done.exception() is not None:
@@ -190,9 +192,9 @@
             self.ends_left[job.end].discard(job_id)
             if not self.ends_left[job.end]:
                 del self.ends_left[job.end]
-                self.cleanup.offer_drop(job.end)
+                self.cleanup.defer_delete(job.end)
             for key in job.done_keys:
-                self.cleanup.offer_drop(key)
+                self.cleanup.defer_delete(key)
         if not self.jobs_by_record[record_key]:
             del self.jobs_by_record[record_key]
 
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -16,7 +16,7 @@
 from peathall.jobs.service import NOT_NOW, Answer, can_never_run
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, Standing, job_status, spec_to_record
-from peathall.store.client import ConflictError, Put, StateClient
+from peathall.store.client import ConflictError, Put, StoreClient
 
 
 class Fallback:
@@ -24,7 +24,7 @@
     not archived is known from `live`; how an archived job ended never changes, so that what
     was read of it saves later reads."""
 
-    def __init__(self, store: StateClient, params: Params, cells: bool = False) -> None:
+    def __init__(self, store: StoreClient, params: Params, cells: bool = False) -> None:
         self.cells = cells  # jobs of other cells may stand in the store as well
         self.store = store
         self.params = params
--- a/peathall/jobs/live_index.py
+++ b/peathall/jobs/live_index.py
@@ -9,24 +9,24 @@
 from typing import Any
 
 from peathall.jobs import records
-from peathall.store.client import SharedRead, StateClient
+from peathall.store.client import SingleFlightRead, StoreClient
 
 
 class Live:
     """What a follower remembers of the records of live jobs."""
 
-    def __init__(self, store: StateClient) -> None:
+    def __init__(self, store: StoreClient) -> None:
         self.store = store
         self.revision: int | None = None  # up to which the rest is known; None: read it all
         self.jobs: dict[str, list[str]] = {}  # key -> jobs in that record
         self.held: dict[str, int] = {}  # job -> number of records that hold it
         self.ends: dict[str, records.FinalRecord] = {}  # by job
         self.ended: dict[str, list[str]] = {}  # key -> jobs whose final state is in it
-        self.reading = SharedRead(self._read)
+        self.reading = SingleFlightRead(self._read)
 
     async def refresh(self) -> None:
         """What is known afterwards is no older than this call."""
-        await self.reading.fresh()
+        await self.reading.refresh()
 
     async def _read(self) -> None:
         if self.revision is None or not await self._catch_up(self.revision):
@@ -40,7 +40,7 @@
 
     async def _catch_up(self, revision: int) -> bool:
         """False if the service no longer knows what changed since then."""
-        news = await self.store.news(records.LIVE, revision)
+        news = await self.store.changes_since(records.LIVE, revision)
         if news is None:
             return False
         self.revision, changes = news
--- a/peathall/jobs/service.py
+++ b/peathall/jobs/service.py
@@ -17,17 +17,17 @@
 from peathall.jobs.remote import NothingRemote, RemoteRuns
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, Standing, job_status, spec_from_record, spec_to_record
-from peathall.store.client import Change as StoreChange
 from peathall.store.client import (
     ConflictError,
-    Item,
+    KeyValue,
     Put,
-    SharedRead,
-    StateClient,
+    SingleFlightRead,
+    StoreClient,
     StoreError,
+    WatchEvent,
 )
 from peathall.store.shared_records import SharedRecordWriter
-from peathall.store.writer import Change, Offers, Writer
+from peathall.store.writer import DeferredWriter, Mutation, Writer
 
 log = logging.getLogger("peathall.jobs")
 
@@ -68,12 +68,12 @@
         self,
         cluster: ClusterState,
         params: Params,
-        store: StateClient,
+        store: StoreClient,
         writer: Writer,
         on_change: Callable[[], None],
         on_cancelled: Callable[[Job], None],
         wall: Callable[[], float],
-        cleanup: Offers | None = None,
+        cleanup: DeferredWriter | None = None,
         remote: RemoteRuns | None = None,
     ) -> None:
         self.remote = remote or NothingRemote()
@@ -89,7 +89,7 @@
         self.accepting: dict[str, asyncio.Future[str]] = {}
         self.new_jobs = SharedRecordWriter(writer, cluster.term, records.JOBS, "jobs")
         self.new_ends = SharedRecordWriter(writer, cluster.term, records.ENDS, "ends")
-        self.news = SharedRead(self._read_news)
+        self.external_jobs = SingleFlightRead(self._read_news)
         self.revision = 0  # up to which jobs accepted elsewhere are known
         self.background = BackgroundTasks()
         self.archive = JobArchive(
@@ -103,7 +103,7 @@
         )
 
     # --- records -------------------------------------------------------------
-    def load(self, live: list[Item], done: list[Item], revision: int) -> None:
+    def load(self, live: list[KeyValue], done: list[KeyValue], revision: int) -> None:
         """After a take-over: all live jobs, their ends and their done tasks."""
         self.revision = revision
         for item in live:
@@ -122,18 +122,18 @@
         for item in done:
             self._load_done(item)
 
-    def _load_ends(self, item: Item) -> None:
+    def _load_ends(self, item: KeyValue) -> None:
         for entry in records.read_ends(item.value):
             if entry.job in self.cluster.jobs:
                 self._final(self.cluster.jobs[entry.job], entry.standing, item.key)
         if item.key not in self.archive.ends_left:
-            self.cleanup.offer_drop(item.key)
+            self.cleanup.defer_delete(item.key)
 
-    def _load_done(self, item: Item) -> None:
+    def _load_done(self, item: KeyValue) -> None:
         self.writer.versions[item.key] = item.version
         job = self.cluster.jobs.get(item.key.removeprefix(records.DONE).rpartition("/")[0])
         if job is None:
-            self.cleanup.offer_drop(item.key)
+            self.cleanup.defer_delete(item.key)
             return
         job.done_keys.add(item.key)
         for low, high in records.read_done(item.value).done:
@@ -229,7 +229,7 @@
 
     async def _read(self, job_id: str) -> Answer | None:
         """Ask the store itself; what is found there becomes known here."""
-        await self.news.fresh()
+        await self.external_jobs.refresh()
         known = await self._known(job_id)
         if known is not None:
             return known
@@ -309,7 +309,9 @@
             job.writing = True
             self.background.spawn(self._finish(job))
         else:
-            self.writer.offer(records.DONE + job.spec.id, lambda: self._done_change(job), must=True)
+            self.writer.defer(
+                records.DONE + job.spec.id, lambda: self._done_change(job), bounded=True
+            )
 
     async def _finish(self, job: Job) -> None:
         try:
@@ -322,7 +324,7 @@
             job.writing = False
         self.archive.archive_if_over(job)
 
-    def _done_change(self, job: Job) -> Change | None:
+    def _done_change(self, job: Job) -> Mutation | None:
         """The first block with news; the others follow, one by one."""
         news = job.done.first_outside(job.stored)
         gone = self.cluster.jobs.get(job.spec.id) is not job  # borrowed, and over
@@ -331,7 +333,7 @@
         block = news // self.block
         record = records.done_record(job.done, block, self.block)
         key = records.done_key(job.spec.id, block, self.block)
-        change = Change({}, [Put(key, records.to_value(record))])
+        change = Mutation({}, [Put(key, records.to_value(record))])
 
         def stored() -> None:
             job.done_keys.add(key)
@@ -352,7 +354,7 @@
         elif len(job.done) >= job.spec.tasks:
             self.note_done(job)
 
-    def _adopt_duplicate(self, item: Item) -> None:
+    def _adopt_duplicate(self, item: KeyValue) -> None:
         """A job as another controller accepted it: new to us, or known in another record."""
         self.writer.versions[item.key] = item.version
         self.adopt(item.value, item.key)
@@ -368,14 +370,14 @@
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
     async def _read_news(self) -> None:
-        await self._take(await self.store.news(records.JOB, self.revision))
+        await self._take(await self.store.changes_since(records.JOB, self.revision))
 
-    async def _take(self, news: tuple[int, list[StoreChange]] | None) -> None:
+    async def _take(self, news: tuple[int, list[WatchEvent]] | None) -> None:
         if news is None:
             items, self.revision = await self.store.scan(records.JOB)
         else:
             revision, changes = news
-            items = [Item(x.key, x.value, x.version) for x in changes if not x.deleted]
+            items = [KeyValue(x.key, x.value, x.version) for x in changes if not x.deleted]
             self.revision = max(self.revision, revision)
         for item in items:
             # Whoever wrote it made sure that it was not archived, and we alone archive.
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -26,7 +26,7 @@
 from peathall.placement.views import Plan
 from peathall.protocol.heartbeats import Report
 from peathall.protocol.jobs import JobSpec
-from peathall.store.client import StateClient, StoreError
+from peathall.store.client import StoreClient, StoreError
 from peathall.store.writer import Writer, WriterPhase
 from peathall.workers.failing_jobs import SUSPECTS, Suspects
 from peathall.workers.image_cache import CACHE, Caches
@@ -57,7 +57,7 @@
         self,
         settings: Settings,
         operator: Operator,
-        store: StateClient,
+        store: StoreClient,
         cloud: CloudClient,
         leader_term: LeaderTerm,
         is_active: Callable[[], bool],
@@ -79,9 +79,9 @@
         now = self.loop.time()
         self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term))
         # Records of handoffs are dropped within seconds: a late try must not bring one back.
-        fence_doubts = operator.cells is not None
+        fence_unknown_outcomes = operator.cells is not None
         self.writer = Writer(
-            store, params.state, leader_term.record, is_active, step_down, fence_doubts
+            store, params.state, leader_term.record, is_active, step_down, fence_unknown_outcomes
         )
         self.writer.versions[TERM_KEY] = leader_term.record.version  # written in one commit
         if self.duties is not None:
@@ -352,7 +352,7 @@
             log.info("request given up: %r", task.exception())
 
     def _cannot_write(self) -> bool:
-        return not self.is_active() or self.writer.phase is WriterPhase.IN_DOUBT
+        return not self.is_active() or self.writer.phase is WriterPhase.OUTCOME_UNKNOWN
 
     async def accept(self, spec: JobSpec) -> Answer:
         """A submission."""
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -22,9 +22,9 @@
 from peathall.leadership.lease import LeaderLease
 from peathall.store.client import (
     ConflictError,
-    LeaseGoneError,
+    LeaseExpiredError,
     Put,
-    StateClient,
+    StoreClient,
     StoreError,
 )
 from peathall.store.writer import GuardKey
@@ -102,7 +102,7 @@
     def __init__(
         self,
         name: str,
-        store: StateClient,
+        store: StoreClient,
         lead: Callable[[LeaderTerm], Awaitable[None]],
         rng: random.Random,
         gate: CampaignGate,
@@ -230,7 +230,7 @@
                     *terms.puts,
                 ],
             )
-        except (ConflictError, LeaseGoneError) as exc:
+        except (ConflictError, LeaseExpiredError) as exc:
             await self._end(lease_id)
             if isinstance(exc, ConflictError) and self.gate.refused(exc.failed):
                 await asyncio.sleep(constants.GATE_CLOSED_S)
@@ -283,7 +283,7 @@
                     log.info("the lease of term %d is alive again", leader_term.term)
                     silent = False
                 pause = constants.RENEW_S
-            except LeaseGoneError:
+            except LeaseExpiredError:
                 log.info("the lease of term %d is gone", leader_term.term)
                 return
             except StoreError as exc:
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -25,8 +25,8 @@
 from peathall.cluster.state import ClusterState
 from peathall.placement.views import Start
 from peathall.protocol.codec import json_size
-from peathall.store.client import Item, Put
-from peathall.store.writer import Change, Offers, Writer
+from peathall.store.client import KeyValue, Put
+from peathall.store.writer import DeferredWriter, Mutation, Writer
 
 ROUND = "round/"
 
@@ -110,7 +110,7 @@
     """Writes, reads, compacts and drops the records of rounds."""
 
     def __init__(
-        self, cluster: ClusterState, writer: Writer, reclaim: Offers | None = None
+        self, cluster: ClusterState, writer: Writer, reclaim: DeferredWriter | None = None
     ) -> None:
         self.cluster = cluster
         self.writer = writer
@@ -119,7 +119,7 @@
         self._sizes: dict[str, RecordSize] = {}
         cluster.on_round_over = self.drop
 
-    def load(self, items: list[Item], now: float) -> None:
+    def load(self, items: list[KeyValue], now: float) -> None:
         """After a take-over: book all attempts that may still exist."""
         for item in items:
             self.writer.versions[item.key] = item.version
@@ -184,7 +184,7 @@
         """None of its attempts can exist any more."""
         self._sizes.pop(key, None)
         if key in self.writer.versions:
-            self.reclaim.offer_drop(key)
+            self.reclaim.defer_delete(key)
 
     def compact(self, now: float) -> None:
         """Offer to write records anew that have long named many more attempts than may exist."""
@@ -195,15 +195,15 @@
                 and now - size.since > constants.ROUND_COMPACT_S
                 and size.attempts >= constants.ROUND_COMPACT_FACTOR * len(attempts)
             ):
-                self.reclaim.offer(f"compact {key}", partial(self._compacted, key, now))
+                self.reclaim.defer(f"compact {key}", partial(self._compacted, key, now))
 
-    def _compacted(self, key: str, now: float) -> Change | None:
+    def _compacted(self, key: str, now: float) -> Mutation | None:
         attempts = list(self.cluster.rounds.get(key, ()))
         if not attempts or key not in self.writer.versions:
             return None
         # Conditional on the record as it is now: once dropped, it must not be created anew.
         unchanged = {key: self.writer.versions[key]}
-        change = Change(unchanged, [Put(key, to_record(live_entries(attempts)))])
+        change = Mutation(unchanged, [Put(key, to_record(live_entries(attempts)))])
 
         def stored() -> None:
             if key in self._sizes:
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -21,7 +21,7 @@
 from peathall.placement.views import MachineView, Move, Plan, Start
 from peathall.protocol.jobs import JobSpec
 from peathall.store.client import StoreError
-from peathall.store.writer import Offers, Writer
+from peathall.store.writer import DeferredWriter, Writer
 from peathall.workers.service import Workers
 
 log = logging.getLogger("peathall.placement")
@@ -55,7 +55,7 @@
         wall: Callable[[], float],
         is_leader: Callable[[], bool],
         demand: Sequence[DemandListener],
-        reclaim: Offers | None = None,
+        reclaim: DeferredWriter | None = None,
     ) -> None:
         self.cluster = cluster
         self.demand = demand
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -13,18 +13,18 @@
 from peathall.config.platform import StateSettings
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
-from peathall.store.token_bucket import Budget
+from peathall.store.token_bucket import TokenBucket
 
 
 class StoreError(Exception):
     """The request was not carried out, or its answer was of no use."""
 
 
-class StoreDoubtError(StoreError):
+class OutcomeUnknownError(StoreError):
     """No answer: it may have been carried out, or still be carried out later."""
 
 
-class InvalidError(StoreError):
+class InvalidTransactionError(StoreError):
     """The service will never carry it out as it is: too large, perhaps."""
 
 
@@ -40,11 +40,11 @@
         self.failed = failed
 
 
-class LeaseGoneError(Exception):
+class LeaseExpiredError(Exception):
     """The lease has ended."""
 
 
-class Item(Struct):
+class KeyValue(Struct):
     """A record as it is stored."""
 
     key: str
@@ -52,7 +52,7 @@
     version: int
 
 
-class Change(Struct):
+class WatchEvent(Struct):
     """News of a record from a watch."""
 
     key: str
@@ -76,7 +76,7 @@
         return wire
 
 
-class Drop(Struct):
+class Delete(Struct):
     """Delete a record."""
 
     key: str
@@ -86,7 +86,7 @@
         return {"drop": self.key}
 
 
-class SharedRead:
+class SingleFlightRead:
     """Whoever asks while a read is on its way shares the next one: what is known afterwards
     is no older than the question, and a storm of questions costs one read at a time."""
 
@@ -95,7 +95,7 @@
         self._reading: asyncio.Task[None] | None = None
         self._next: asyncio.Task[None] | None = None
 
-    async def fresh(self) -> None:
+    async def refresh(self) -> None:
         """Wait for a read that begins after this call."""
         if self._next is None:
             # A read that is on its way may have been carried out before this call.
@@ -110,7 +110,7 @@
         await self.read()
 
 
-class StateClient:
+class StoreClient:
     """The state service's calls, within this controller's part of its budgets."""
 
     def __init__(
@@ -126,8 +126,8 @@
         self.http = HttpClient(addr)
         self.watch_http = HttpClient(addr)
         self.loop = asyncio.get_running_loop()
-        self.requests = Budget(limits.rps * self._share(constants.LEADER_RPS_SHARE, False))
-        self.writes = Budget(limits.write_rps * self._share(leader_writes, False))
+        self.requests = TokenBucket(limits.rps * self._share(constants.LEADER_RPS_SHARE, False))
+        self.writes = TokenBucket(limits.write_rps * self._share(leader_writes, False))
         self.last_good = -1e9
         self.failing = False  # the latest request was not answered, or refused
 
@@ -139,7 +139,7 @@
         )
         self.writes.set_rate(self.limits.write_rps * self._share(self.leader_writes, leading), now)
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """What we know from the service is no older than a watch's hold."""
         return self.loop.time() - self.last_good < constants.STORE_FRESH_S and not self.failing
 
@@ -177,7 +177,7 @@
             status, raw = await (http or self.http).request(method, path, data, timeout)
         except NoAnswerError as exc:
             self.failing = True
-            raise (StoreDoubtError if exc.sent else StoreError)(str(exc)) from None
+            raise (OutcomeUnknownError if exc.sent else StoreError)(str(exc)) from None
         if status == 429:
             self.failing = False
             raise RateLimitError(f"state service: {status}")
@@ -189,21 +189,21 @@
         try:
             return status, codec.cbor_any(raw)
         except Exception as exc:
-            raise StoreDoubtError(f"garbled answer: {exc}") from None
+            raise OutcomeUnknownError(f"garbled answer: {exc}") from None
 
-    async def get(self, key: str, first: bool = False) -> Item | None:
+    async def get(self, key: str, first: bool = False) -> KeyValue | None:
         """One record, or None."""
         await self._budget(first=first)
         status, raw = await self._ask("GET", f"/store/{quote(key)}")
         if status == 200:
-            return Item(raw["k"], raw["data"], raw["stamp"])
+            return KeyValue(raw["k"], raw["data"], raw["stamp"])
         if status == 404:
             return None
         raise StoreError(f"get {key}: {status}")
 
-    async def scan(self, prefix: str) -> tuple[list[Item], int]:
+    async def scan(self, prefix: str) -> tuple[list[KeyValue], int]:
         """All keys with the prefix, and the revision from which to watch on."""
-        items: list[Item] = []
+        items: list[KeyValue] = []
         after, revision = "", None
         while True:
             await self._budget()
@@ -216,12 +216,12 @@
             if revision is None:
                 # The first page's revision: what changes during the paging is watched.
                 revision = raw["epoch"]
-            items += [Item(x["k"], x["data"], x["stamp"]) for x in raw["items"]]
+            items += [KeyValue(x["k"], x["data"], x["stamp"]) for x in raw["items"]]
             if not raw.get("more") or not raw["items"]:
                 return items, revision
             after = raw["items"][-1]["k"]
 
-    async def commit(self, conditions: dict[str, int], ops: list[Put | Drop]) -> int:
+    async def commit(self, conditions: dict[str, int], ops: list[Put | Delete]) -> int:
         """Carry out a transaction; the revision."""
         await self._budget(len(ops))
         wire = {
@@ -234,9 +234,9 @@
         if status == 409:
             raise ConflictError(list(raw["failed"]))
         if status == 400 and "lease" in str((raw or {}).get("error", "")):
-            raise LeaseGoneError
+            raise LeaseExpiredError
         if status == 400:
-            raise InvalidError(f"commit: {status} {raw}")
+            raise InvalidTransactionError(f"commit: {status} {raw}")
         raise StoreError(f"commit: {status} {raw}")
 
     async def lease(self, ttl_s: float) -> int:
@@ -248,11 +248,11 @@
         return int(raw["tenancy"])
 
     async def renew(self, lease: int, timeout: float) -> None:
-        """Renew a lease; LeaseGoneError if it has ended."""
+        """Renew a lease; LeaseExpiredError if it has ended."""
         self.requests.spend(1, self.loop.time())
         status, _ = await self._ask("POST", f"/leases/{lease}/renew", {}, timeout)
         if status == 404:
-            raise LeaseGoneError
+            raise LeaseExpiredError
         if status != 200:
             raise StoreError(f"renew: {status}")
 
@@ -261,17 +261,17 @@
         self.requests.spend(1, self.loop.time())
         await self._ask("DELETE", f"/leases/{lease}")
 
-    async def watch(self, prefix: str, after: int) -> tuple[int, list[Change]] | None:
+    async def watch(self, prefix: str, after: int) -> tuple[int, list[WatchEvent]] | None:
         """Changes after a revision; None if the service no longer knows that far back."""
         return await self._changes(prefix, after, constants.WATCH_HOLD_S, self.watch_http)
 
-    async def news(self, prefix: str, after: int) -> tuple[int, list[Change]] | None:
+    async def changes_since(self, prefix: str, after: int) -> tuple[int, list[WatchEvent]] | None:
         """The same without waiting for any."""
         return await self._changes(prefix, after, 0.0, self.http)
 
     async def _changes(
         self, prefix: str, after: int, hold: float, http: HttpClient
-    ) -> tuple[int, list[Change]] | None:
+    ) -> tuple[int, list[WatchEvent]] | None:
         await self._budget(first=hold > 0)  # such are few
         path = f"/watch?prefix={quote(prefix)}&after={after}&hold_ms={int(hold * 1000)}"
         status, raw = await self._ask(
@@ -282,9 +282,9 @@
         if status != 200:
             raise StoreError(f"watch: {status}")
         changes = [
-            Change(x["write"], x["stamp"], x.get("data"))
+            WatchEvent(x["write"], x["stamp"], x.get("data"))
             if "write" in x
-            else Change(x["drop"], x["stamp"], deleted=True)
+            else WatchEvent(x["drop"], x["stamp"], deleted=True)
             for x in raw["news"]
         ]
         return int(raw["epoch"]), changes
--- a/peathall/store/shared_records.py
+++ b/peathall/store/shared_records.py
@@ -7,7 +7,7 @@
 
 from peathall.protocol.codec import json_size
 from peathall.store.client import ConflictError, Put
-from peathall.store.writer import Change, LeadershipLostError, Writer, WriterPhase
+from peathall.store.writer import LeadershipLostError, Mutation, Writer, WriterPhase
 
 
 class SharedRecordWriter:
@@ -34,10 +34,10 @@
             entry.stored.set_exception(LeadershipLostError())
         else:
             self.waiting.append(entry)
-            self.writer.ask_first(self.stem, self._make)
+            self.writer.defer_to_next(self.stem, self._make)
         return entry.stored
 
-    def _make(self) -> Change | None:
+    def _make(self) -> Mutation | None:
         taken: list[Entry] = []
         size, conditions = json_size({self.field: []}), dict[str, int]()
         for entry in self.waiting:
@@ -52,10 +52,10 @@
             return None
         del self.waiting[: len(taken)]
         if self.waiting:
-            self.writer.ask_first(self.stem, self._make)
+            self.writer.defer_to_next(self.stem, self._make)
         self.number += 1
         key = f"{self.stem}{self.number:07d}"
-        change = Change(conditions, [Put(key, {self.field: [entry.value for entry in taken]})])
+        change = Mutation(conditions, [Put(key, {self.field: [entry.value for entry in taken]})])
         change.done.add_done_callback(lambda done: self._settle(key, taken, done))
         return change
 
@@ -74,7 +74,7 @@
                 entry.stored.set_exception(error)
         if again:
             self.waiting[:0] = again
-            self.writer.ask_first(self.stem, self._make)
+            self.writer.defer_to_next(self.stem, self._make)
 
     def close(self) -> None:
         """The term is over: what still waits is given up."""
--- a/peathall/store/token_bucket.py
+++ b/peathall/store/token_bucket.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Budget:
+class TokenBucket:
     """`rate` a second with a burst of one second's worth. Time comes in as an argument."""
 
     def __init__(self, rate: float, burst: float | None = None) -> None:
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -24,13 +24,13 @@
 from peathall.protocol.codec import json_size
 from peathall.store.client import (
     ConflictError,
-    Drop,
-    InvalidError,
-    LeaseGoneError,
+    Delete,
+    InvalidTransactionError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
     Put,
     RateLimitError,
-    StateClient,
-    StoreDoubtError,
+    StoreClient,
     StoreError,
 )
 
@@ -41,12 +41,12 @@
     """`lead` is no longer ours; nothing was written."""
 
 
-class Change:
+class Mutation:
     """Puts and drops that are written together, and what happens afterwards."""
 
     __slots__ = ("conditions", "done", "ops", "size")
 
-    def __init__(self, conditions: dict[str, int], ops: list[Put | Drop]) -> None:
+    def __init__(self, conditions: dict[str, int], ops: list[Put | Delete]) -> None:
         self.conditions = conditions
         self.ops = ops
         self.done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
@@ -54,19 +54,19 @@
         self.done.add_done_callback(lambda f: f.cancelled() or f.exception())
         self.size = sum(json_size(op.to_wire()) for op in ops)
 
-    def then(self, action: Callable[[], None]) -> Change:
+    def then(self, action: Callable[[], None]) -> Mutation:
         """`action` runs once the change is stored, and only then."""
         self.done.add_done_callback(lambda f: None if f.cancelled() or f.exception() else action())
         return self
 
 
-class Offers(Protocol):
+class DeferredWriter(Protocol):
     """Takes changes that may wait: the leader's writer, or the holder of a duty."""
 
-    def offer(self, name: str, make: Callable[[], Change | None], must: bool = False) -> None:
+    def defer(self, name: str, make: Callable[[], Mutation | None], bounded: bool = False) -> None:
         """`make` is asked for its change once there is room for it."""
 
-    def offer_drop(self, key: str) -> None:
+    def defer_delete(self, key: str) -> None:
         """Delete a record."""
 
 
@@ -88,13 +88,13 @@
     def __init__(self, limits: StateSettings) -> None:
         self.most_ops = limits.changes_at_once
         self.most_checks = constants.TXN_CONDITIONS * limits.txn_ops
-        self.changes: list[Change] = []
+        self.changes: list[Mutation] = []
         self.ops = 0
         self._size = 0
         self._checks = 0
         self._keys: set[str] = set()
 
-    def add(self, change: Change) -> bool:
+    def add(self, change: Mutation) -> bool:
         """Take the change if it fits; the first one always does."""
         touched = {op.key for op in change.ops} | set(change.conditions)
         if self.changes and not self._fits(change, touched):
@@ -106,7 +106,7 @@
         self._keys |= touched
         return True
 
-    def _fits(self, change: Change, touched: set[str]) -> bool:
+    def _fits(self, change: Mutation, touched: set[str]) -> bool:
         return (
             self.ops + len(change.ops) <= self.most_ops
             and self._size + change.size <= constants.TXN_BYTES
@@ -119,10 +119,12 @@
 class Transaction:
     """A batch on its way to the store."""
 
-    batch: list[Change]
-    ops: list[Put | Drop]
+    batch: list[Mutation]
+    ops: list[Put | Delete]
     conditions: dict[str, int]  # key -> version
-    doubt: bool = False  # a try got no answer: it may have been, or may yet be, carried out
+    outcome_unknown: bool = (
+        False  # a try got no answer: it may have been, or may yet be, carried out
+    )
     refused: bool = False
     rate_refusals: int = 0
 
@@ -144,7 +146,7 @@
 
     IDLE = auto()
     COMMITTING = auto()
-    IN_DOUBT = auto()  # no answer to a commit: repeat it, write nothing else
+    OUTCOME_UNKNOWN = auto()  # no answer to a commit: repeat it, write nothing else
     STOPPED = auto()
 
 
@@ -153,14 +155,14 @@
 
     def __init__(
         self,
-        store: StateClient,
+        store: StoreClient,
         limits: StateSettings,
         lead: GuardKey,
         lease_is_valid: Callable[[], bool],
         on_leadership_lost: Callable[[], None],
-        fence_doubts: bool = False,
+        fence_unknown_outcomes: bool = False,
     ) -> None:
-        self.fence_doubts = fence_doubts  # see _commit()
+        self.fence_unknown_outcomes = fence_unknown_outcomes  # see _commit()
         self.store = store
         self.limits = limits
         self.value_limit = int(limits.value_kb * 1024 * constants.VALUE_FILL)  # bytes of a value
@@ -169,10 +171,10 @@
         self.on_leadership_lost = on_leadership_lost
         self.loop = asyncio.get_running_loop()
         self.phase = WriterPhase.IDLE
-        self.queue: list[Change] = []
-        self.first: dict[str, Callable[[], Change | None]] = {}  # see ask_first()
-        self.spare: dict[str, Callable[[], Change | None]] = {}  # see offer()
-        self.must: dict[str, float] = {}  # those that may not wait for long, and since when
+        self.queue: list[Mutation] = []
+        self.first: dict[str, Callable[[], Mutation | None]] = {}  # see ask_first()
+        self.spare: dict[str, Callable[[], Mutation | None]] = {}  # see offer()
+        self.bounded: dict[str, float] = {}  # those that may not wait for long, and since when
         self.wake = asyncio.Event()
         self.versions: dict[str, int] = {}
 
@@ -181,14 +183,14 @@
             self.phase = phase
 
     def submit(
-        self, ops: list[Put | Drop], conditions: dict[str, int] | None = None
+        self, ops: list[Put | Delete], conditions: dict[str, int] | None = None
     ) -> asyncio.Future[int]:
         """Queue a change; its future gives the revision, or ConflictError or LeadershipLostError.
 
         Keys without a condition of their own are conditional on the version that
         this writer knows of them (0: never written).
         """
-        change = Change(conditions or {}, ops)
+        change = Mutation(conditions or {}, ops)
         if self.phase is WriterPhase.STOPPED:
             change.done.set_exception(LeadershipLostError())
         else:
@@ -196,19 +198,19 @@
             self.wake.set()
         return change.done
 
-    def take_over(self, changes: list[Change]) -> None:
+    def take_over(self, changes: list[Mutation]) -> None:
         """Write changes that were made for somebody else."""
         self.queue += changes
         self.wake.set()
 
-    def ask_first(self, name: str, make: Callable[[], Change | None]) -> None:
+    def defer_to_next(self, name: str, make: Callable[[], Mutation | None]) -> None:
         """`make` is asked for its change when the next transaction is made up, before all
         others: what it gathers until then shares one record."""
         if self.phase is not WriterPhase.STOPPED:
             self.first[name] = make
             self.wake.set()
 
-    def offer(self, name: str, make: Callable[[], Change | None], must: bool = False) -> None:
+    def defer(self, name: str, make: Callable[[], Mutation | None], bounded: bool = False) -> None:
         """What may wait: `make` is asked for its change once there is budget to spare.
 
         Offered again under its name before that, it is still written once, in its latest
@@ -217,13 +219,13 @@
         """
         if self.phase is not WriterPhase.STOPPED and name not in self.spare:
             self.spare[name] = make
-            if must:
-                self.must[name] = self.loop.time()
+            if bounded:
+                self.bounded[name] = self.loop.time()
             self.wake.set()
 
-    def offer_drop(self, key: str) -> None:
+    def defer_delete(self, key: str) -> None:
         """Delete a record once there is budget to spare."""
-        self.offer(f"drop {key}", lambda: Change({}, [Drop(key)]))
+        self.defer(f"drop {key}", lambda: Mutation({}, [Delete(key)]))
 
     def stop(self) -> None:
         """The term is over: what still waits fails."""
@@ -238,10 +240,10 @@
 
     def _due(self) -> str | None:
         """What has waited for budget to spare for as long as it may."""
-        name, since = next(iter(self.must.items()), ("", self.loop.time()))
+        name, since = next(iter(self.bounded.items()), ("", self.loop.time()))
         return name if self.loop.time() - since > constants.SPARE_MOST_S else None
 
-    def _take(self) -> list[Change]:
+    def _take(self) -> list[Mutation]:
         """The oldest changes that fit into one transaction and touch no key twice."""
         batch = Batch(self.limits)
         self._take_first(batch)
@@ -268,7 +270,7 @@
         for name in list(self.spare) if due is None else [due]:
             if batch.ops >= batch.most_ops or (left < 1 and due is None):
                 return
-            self.must.pop(name, None)
+            self.bounded.pop(name, None)
             offered = self.spare.pop(name)()
             if offered is None:
                 continue
@@ -304,7 +306,7 @@
         except TimeoutError:
             pass
 
-    async def _commit(self, batch: list[Change]) -> None:
+    async def _commit(self, batch: list[Mutation]) -> None:
         """Until its fate is known, or the lead is another's."""
         transaction = self._transaction(batch)
         while self.phase is not WriterPhase.STOPPED:
@@ -312,16 +314,16 @@
                 if await self._complete(transaction, await self._try(transaction)):
                     return
                 break
-            except StoreDoubtError as exc:
+            except OutcomeUnknownError as exc:
                 log.info("no answer to a commit, or to whether it was carried out: %s", exc)
-                transaction.doubt = True
-                self._enter(WriterPhase.IN_DOUBT)
+                transaction.outcome_unknown = True
+                self._enter(WriterPhase.OUTCOME_UNKNOWN)
                 await asyncio.sleep(constants.STORE_RETRY_S)
-            except InvalidError as exc:
+            except InvalidTransactionError as exc:
                 if await self._give_up_invalid(transaction, exc):
                     return
                 break
-            except (StoreError, LeaseGoneError) as exc:
+            except (StoreError, LeaseExpiredError) as exc:
                 transaction.note_refusal(exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
             except ConflictError as exc:
@@ -338,11 +340,13 @@
         self.applied(transaction.batch, revision)
         # What it wrote may be dropped before an earlier try of it is carried out late, whose
         # conditions would then hold once more.
-        return not (transaction.doubt and self.fence_doubts) or await self._fence()
+        return (
+            not (transaction.outcome_unknown and self.fence_unknown_outcomes) or await self._fence()
+        )
 
-    def _transaction(self, batch: list[Change]) -> Transaction:
+    def _transaction(self, batch: list[Mutation]) -> Transaction:
         conditions = {self.lead.key: self.lead.version}
-        ops: list[Put | Drop] = []
+        ops: list[Put | Delete] = []
         for change in batch:
             for op in change.ops:
                 conditions[op.key] = self.versions.get(op.key, 0)
@@ -353,20 +357,24 @@
     async def _try(self, transaction: Transaction) -> int:
         """The revision at which it is carried out, by now or by an earlier try."""
         ops, conditions = transaction.ops, transaction.conditions
-        revision = await self._tried(ops, conditions) if transaction.doubt else 0
+        revision = await self._tried(ops, conditions) if transaction.outcome_unknown else 0
         try:
             return revision or await self.store.commit(conditions, ops)
         except RateLimitError as exc:
             transaction.rate_refusals += 1
             if transaction.too_many_changes:
-                raise InvalidError(f"more changes than its rate allows at all: {exc}") from None
+                raise InvalidTransactionError(
+                    f"more changes than its rate allows at all: {exc}"
+                ) from None
             raise
 
-    async def _give_up_invalid(self, transaction: Transaction, error: InvalidError) -> bool:
+    async def _give_up_invalid(
+        self, transaction: Transaction, error: InvalidTransactionError
+    ) -> bool:
         """Larger than is allowed, or more at once: repeating it would hold up all others for
         ever. Whichever change it is, the others go on without it. False if the lead is lost."""
         log.error("the state service does not take a commit: %s", error)
-        if transaction.doubt and not await self._fence():
+        if transaction.outcome_unknown and not await self._fence():
             return False
         batch = transaction.batch
         if len(batch) == 1:
@@ -380,7 +388,7 @@
         """A condition does not hold. False if the lead is lost."""
         if self.lead.key in error.failed:
             return False
-        if transaction.doubt:
+        if transaction.outcome_unknown:
             # Our own earlier try may be what changed the records: look once more, now that a
             # further one has been refused for good.
             applied = await self.until_known(transaction.ops, transaction.conditions)
@@ -392,7 +400,7 @@
         await self._split(transaction.batch, error.failed)
         return True
 
-    async def _tried(self, ops: list[Put | Drop], conditions: dict[str, int]) -> int:
+    async def _tried(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
         """After a doubt: the revision at which our own earlier try went through, 0 if none did.
 
         All that a transaction writes has one revision, newer than whatever it depended on.
@@ -414,7 +422,7 @@
             return 0
         return written.pop() if written else before + 1
 
-    async def until_known(self, ops: list[Put | Drop], conditions: dict[str, int]) -> int:
+    async def until_known(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
         """The revision at which a doubtful transaction went through; 0 if it did not."""
         while self.phase is not WriterPhase.STOPPED:
             try:
@@ -436,29 +444,29 @@
                 lead.version = await self.store.commit({lead.key: item.version}, [renewed])
                 log.info("wrote %s anew, since a commit without an answer was given up", lead.key)
                 return True
-            except LeaseGoneError:
+            except LeaseExpiredError:
                 return False
             except (StoreError, ConflictError):
                 await asyncio.sleep(constants.STORE_RETRY_S)
         return False
 
-    async def _split(self, batch: list[Change], failed: list[str]) -> None:
+    async def _split(self, batch: list[Mutation], failed: list[str]) -> None:
         """A record is not what we thought: fail its change, write the others."""
         bad, rest = self.parted(batch, failed)
         self.settle(bad, ConflictError(failed))
         self.queue[:0] = rest
 
     @staticmethod
-    def parted(batch: list[Change], failed: list[str]) -> tuple[list[Change], list[Change]]:
+    def parted(batch: list[Mutation], failed: list[str]) -> tuple[list[Mutation], list[Mutation]]:
         """Those that depend on one of the keys, and the others."""
-        bad: list[Change] = []
-        rest: list[Change] = []
+        bad: list[Mutation] = []
+        rest: list[Mutation] = []
         for change in batch:
             touched = {op.key for op in change.ops} | set(change.conditions)
             (bad if touched & set(failed) else rest).append(change)
         return bad, rest
 
-    def applied(self, batch: list[Change], revision: int) -> None:
+    def applied(self, batch: list[Mutation], revision: int) -> None:
         """The changes are stored, at this revision."""
         for change in batch:
             for op in change.ops:
@@ -470,7 +478,7 @@
                 change.done.set_result(revision)
 
     @staticmethod
-    def settle(batch: list[Change], error: Exception) -> None:
+    def settle(batch: list[Mutation], error: Exception) -> None:
         """The changes have failed."""
         for change in batch:
             if not change.done.done():
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -13,7 +13,7 @@
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
 from peathall.protocol.heartbeats import Report, report_from_wire
-from peathall.store.token_bucket import Budget
+from peathall.store.token_bucket import TokenBucket
 
 log = logging.getLogger("peathall.workers")
 
@@ -39,7 +39,7 @@
         self.loop = asyncio.get_running_loop()
         self.connections = connections  # at most, at once
         self.under_way: dict[str, asyncio.Task[None]] = {}  # by machine
-        self.deferrable = Budget(rate)  # of orders that might as well wait for a report
+        self.deferrable = TokenBucket(rate)  # of orders that might as well wait for a report
         self._turn = asyncio.Semaphore(connections)
         self._clients: OrderedDict[str, HttpClient] = OrderedDict()  # least lately used first
 
--- a/peathall/workers/failing_jobs.py
+++ b/peathall/workers/failing_jobs.py
@@ -8,8 +8,8 @@
 from peathall import constants
 from peathall.cluster.job import Trust
 from peathall.cluster.state import ClusterState
-from peathall.store.client import Item, Put
-from peathall.store.writer import Change, Writer
+from peathall.store.client import KeyValue, Put
+from peathall.store.writer import Mutation, Writer
 from peathall.workers.faults import FaultTracker
 
 SUSPECTS = "suspects"
@@ -24,7 +24,7 @@
         self.writer = writer
         faults.on_suspects = self.changed
 
-    def load(self, item: Item | None) -> None:
+    def load(self, item: KeyValue | None) -> None:
         """After a take-over: which were."""
         if item is None:
             return
@@ -36,13 +36,13 @@
 
     def changed(self) -> None:
         """Written when nothing that matters more waits; as seldom as the set changes."""
-        self.writer.offer(SUSPECTS, self._change)
+        self.writer.defer(SUSPECTS, self._change)
 
-    def _change(self) -> Change:
+    def _change(self) -> Mutation:
         found = [
             [job.spec.id, job.strikes]
             for job in self.faults.watched.values()
             if job.trust is Trust.SUSPECT and self.cluster.jobs.get(job.spec.id) is job
         ]
         most = min(constants.SUSPECTS_KEPT, self.writer.value_limit // constants.SUSPECT_BYTES)
-        return Change({}, [Put(SUSPECTS, {"jobs": found[-most:]})])
+        return Mutation({}, [Put(SUSPECTS, {"jobs": found[-most:]})])
--- a/peathall/workers/image_cache.py
+++ b/peathall/workers/image_cache.py
@@ -13,8 +13,8 @@
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
 from peathall.protocol.codec import json_size
-from peathall.store.client import Drop, Item, Put
-from peathall.store.writer import Change, Writer
+from peathall.store.client import Delete, KeyValue, Put
+from peathall.store.writer import Mutation, Writer
 
 CACHE = "cache/"
 
@@ -30,7 +30,7 @@
         self.members: dict[str, dict[str, None]] = {}  # record -> machines in it
         self.record_of: dict[str, str] = {}  # machine -> its record
 
-    def load(self, items: list[Item]) -> None:
+    def load(self, items: list[KeyValue]) -> None:
         """After a take-over: what was remembered."""
         for item in items:
             self.writer.versions[item.key] = item.version
@@ -52,7 +52,7 @@
             self.members[before].pop(machine.name, None)
         self.record_of[machine.name] = key
         self.members.setdefault(key, {})[machine.name] = None
-        self.writer.offer(key, lambda: self._change(key))
+        self.writer.defer(key, lambda: self._change(key))
 
     def _records(self) -> int:
         """Records among which the machines are divided: more of them only once a machine's share
@@ -63,7 +63,7 @@
             records *= 2
         return records
 
-    def _change(self, key: str) -> Change | None:
+    def _change(self, key: str) -> Mutation | None:
         members = {name: self._known(name) for name in self.members[key]}
         record = {name: images for name, images in members.items() if images}
         self.members[key] = dict.fromkeys(record)
@@ -72,8 +72,8 @@
             while json_size(images) + len(name) + 4 > share:
                 images.pop(0)  # the next to go from the cache, too
         if record:
-            return Change({}, [Put(key, {"machines": record})])
-        return Change({}, [Drop(key)]) if key in self.writer.versions else None
+            return Mutation({}, [Put(key, {"machines": record})])
+        return Mutation({}, [Delete(key)]) if key in self.writer.versions else None
 
     def _known(self, name: str) -> list[Any]:
         machine = self.cluster.machines.get(name)
--- a/tests/sim/test_duties_command.py
+++ b/tests/sim/test_duties_command.py
@@ -20,7 +20,7 @@
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
 from peathall.operator_config.file import load_operator
-from peathall.store.client import Item
+from peathall.store.client import KeyValue
 from tests.unit.test_settings import TEXT
 
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "peathall.textproto"
@@ -110,7 +110,7 @@
 def told() -> Any:
     import msgspec
 
-    items = [Item(key, value, 1) for key, value in RECORDS.items()]
+    items = [KeyValue(key, value, 1) for key, value in RECORDS.items()]
     waiting = {"returning": "nobody holds the duty"}
     return msgspec.to_builtins(describe("hall-0", items, "hall-2", waiting))
 
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -13,7 +13,7 @@
 from peathall.cluster.job import Attempt, AttemptPhase, Job, Trust
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
-from peathall.store.client import Item, Put
+from peathall.store.client import KeyValue, Put
 from peathall.store.writer import Writer
 from peathall.workers.failing_jobs import Suspects
 from peathall.workers.faults import FaultTracker
@@ -200,7 +200,7 @@
         later.mistaken.add("j-1")
         again = later.job(1, 50)
         writer = Writer(nothing, LIMITS, lead(2), bool, bool)
-        Suspects(later.cluster, later.faults, writer).load(Item(put.key, put.value, 5))
+        Suspects(later.cluster, later.faults, writer).load(KeyValue(put.key, put.value, 5))
         assert again.trust is Trust.SUSPECT
         later.start(again, ["m-3"], 10.0)
         assert again.backoff_until == 10.0 + 2 * constants.ERROR_BACKOFF_S
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -182,7 +182,7 @@
 
 def new_state_client(http: RecordedHttp) -> Any:
     limits = parse(SETTINGS).params.state
-    client: Any = store.StateClient("10.9.0.1:2", limits, 2)
+    client: Any = store.StoreClient("10.9.0.1:2", limits, 2)
     client.http = client.watch_http = http
     return client
 
@@ -860,7 +860,7 @@
 
 async def commit(client: Any) -> Any:
     puts = [store.Put("a/b", {"x": 1}), store.Put("a/c", [2], 7)]
-    return await client.commit({"a/b": 0, "a/c": 9}, [*puts, store.Drop("c/d")])
+    return await client.commit({"a/b": 0, "a/c": 9}, [*puts, store.Delete("c/d")])
 
 
 Use = Callable[[Any], Awaitable[Any]]
@@ -881,7 +881,7 @@
     ("too old", lambda c: c.watch("c/", 431), (410, {}), WATCH_CALL, None),
     (
         "news",
-        lambda c: c.news("c/", 431),
+        lambda c: c.changes_since("c/", 431),
         (200, CHANGES),
         ("GET", "/watch?prefix=c/&after=431&hold_ms=0", None),
         NEWS,
@@ -906,11 +906,11 @@
 
 STATE_ERRORS: list[tuple[Use, tuple[int, Any], type[Exception]]] = [
     (commit, (409, {"failed": ["a/b"], "epoch": 431}), store.ConflictError),
-    (commit, (400, {"error": "no such lease"}), store.LeaseGoneError),
-    (commit, (400, {"error": "too large"}), store.InvalidError),
+    (commit, (400, {"error": "no such lease"}), store.LeaseExpiredError),
+    (commit, (400, {"error": "too large"}), store.InvalidTransactionError),
     (commit, (429, {}), store.RateLimitError),
     (commit, (503, {}), store.StoreError),
-    (lambda c: c.renew(7, 1.0), (404, {}), store.LeaseGoneError),
+    (lambda c: c.renew(7, 1.0), (404, {}), store.LeaseExpiredError),
 ]
 
 
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -16,7 +16,7 @@
 from peathall.placement.rounds import ROUND, RoundRecords, from_record
 from peathall.placement.views import Plan, Start
 from peathall.protocol.codec import json_size
-from peathall.store.client import InvalidError, Item
+from peathall.store.client import InvalidTransactionError, KeyValue
 from peathall.store.writer import Writer
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
@@ -26,10 +26,10 @@
 SMALLEST = StateSettings(100.0, 50.0, 2.0, 4)  # 2 KiB a value, 4 changes a transaction
 
 
-def items(store: FakeStore) -> list[Item]:
+def items(store: FakeStore) -> list[KeyValue]:
     """The records of rounds that are stored."""
     return [
-        Item(key, value, at) for key, (value, at) in store.data.items() if key.startswith(ROUND)
+        KeyValue(key, value, at) for key, (value, at) in store.data.items() if key.startswith(ROUND)
     ]
 
 
@@ -156,7 +156,7 @@
             gang = jobs["j-2"].attempts.values()
             assert {a.phase for a in gang} == {AttemptPhase.PLANNED}  # not before all stand
             if at == refused:
-                stored.set_exception(InvalidError("too large"))
+                stored.set_exception(InvalidTransactionError("too large"))
             else:
                 stored.set_result(at + 1)
             await asyncio.sleep(0)
@@ -176,14 +176,14 @@
     async def run() -> None:
         now = asyncio.get_running_loop().time()
         before = new_workers(now)
-        values: list[Item] = []
+        values: list[KeyValue] = []
 
         def submit(ops: list[Any]) -> asyncio.Future[int]:
-            values.append(Item(ops[0].key, ops[0].value, len(values) + 1))
+            values.append(KeyValue(ops[0].key, ops[0].value, len(values) + 1))
             return asyncio.get_running_loop().create_future()  # the leader ends
 
         writer: Any = SimpleNamespace(
-            versions={}, submit=submit, value_limit=1740, offer_drop=lambda key: None
+            versions={}, submit=submit, value_limit=1740, defer_delete=lambda key: None
         )
         plan = wide_gang(before, 130)
         starting = asyncio.create_task(new_placement(before, writer)._start(plan, now))
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -14,19 +14,19 @@
 from peathall.leadership.lease import LeaderLease, fencing_token, first_attempt
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
 from peathall.protocol.codec import json_size
-from peathall.store.client import Change as StoreChange
 from peathall.store.client import (
     ConflictError,
-    InvalidError,
-    Item,
+    InvalidTransactionError,
+    KeyValue,
+    OutcomeUnknownError,
     Put,
     RateLimitError,
-    StateClient,
-    StoreDoubtError,
+    StoreClient,
+    WatchEvent,
 )
 from peathall.store.shared_records import SharedRecordWriter
-from peathall.store.token_bucket import Budget
-from peathall.store.writer import Change, GuardKey, LeadershipLostError, Writer
+from peathall.store.token_bucket import TokenBucket
+from peathall.store.writer import GuardKey, LeadershipLostError, Mutation, Writer
 
 
 class FakeStore:
@@ -44,19 +44,19 @@
     def spare_writes(self) -> float:
         return self.spare
 
-    async def get(self, key: str, first: bool = False) -> Item | None:
+    async def get(self, key: str, first: bool = False) -> KeyValue | None:
         found = self.data.get(key)
-        return Item(key, found[0], found[1]) if found else None
+        return KeyValue(key, found[0], found[1]) if found else None
 
-    async def scan(self, prefix: str) -> tuple[list[Item], int]:
-        found = [Item(k, v, at) for k, (v, at) in self.data.items() if k.startswith(prefix)]
+    async def scan(self, prefix: str) -> tuple[list[KeyValue], int]:
+        found = [KeyValue(k, v, at) for k, (v, at) in self.data.items() if k.startswith(prefix)]
         return found, self.revision
 
-    async def news(self, prefix: str, after: int) -> tuple[int, list[Any]] | None:
+    async def changes_since(self, prefix: str, after: int) -> tuple[int, list[Any]] | None:
         if after < self.forgotten:
             return None
         return self.revision, [
-            StoreChange(k, at, v, v is None)
+            WatchEvent(k, at, v, v is None)
             for k, (v, at) in self.data.items()
             if k.startswith(prefix) and at > after
         ]
@@ -85,7 +85,7 @@
                 self.apply(conditions, ops)
             else:
                 self.under_way.append((dict(conditions), list(ops)))
-            raise StoreDoubtError("no answer")
+            raise OutcomeUnknownError("no answer")
         return self.apply(conditions, ops)
 
 
@@ -99,7 +99,7 @@
 def play(store: FakeStore, puts: list[Put]) -> list[Any]:
     async def run() -> list[Any]:
         client: Any = store
-        assert isinstance(client, FakeStore | StateClient)
+        assert isinstance(client, FakeStore | StoreClient)
         writer = Writer(client, LIMITS, lead(), lambda: True, lambda: None)
         futures = [writer.submit([put]) for put in puts]
         task = asyncio.create_task(writer.run())
@@ -202,12 +202,12 @@
     class Falling(FakeStore):
         async def commit(self, conditions: dict[str, int], ops: list[Any]) -> int:
             if self.commits and any(isinstance(op, Put) and op.key == "a" for op in ops):
-                raise InvalidError("too large")
+                raise InvalidTransactionError("too large")
             return await super().commit(conditions, ops)
 
     store = Falling()
     store.lose = [False]
-    assert isinstance(play(store, [Put("a", 1)])[0], InvalidError)
+    assert isinstance(play(store, [Put("a", 1)])[0], InvalidTransactionError)
     with pytest.raises(ConflictError):
         store.apply(*store.under_way[0])
     assert "a" not in store.data
@@ -222,7 +222,7 @@
 
 
 def test_budgets_keep_their_rate() -> None:
-    budget = Budget(10.0)
+    budget = TokenBucket(10.0)
     now, spent = 0.0, 0
     while now < 20.0:
         pause = budget.wait(1, now)
@@ -282,12 +282,12 @@
     class Strict(FakeStore):
         async def commit(self, conditions: dict[str, int], ops: list[Any]) -> int:
             if any(isinstance(op, Put) and op.key == "large" for op in ops):
-                raise InvalidError("commit: 400")
+                raise InvalidTransactionError("commit: 400")
             return await super().commit(conditions, ops)
 
     store = Strict()
     results = play(store, [Put("a", 1), Put("large", 2), Put("b", 3)])
-    assert isinstance(results.pop(1), InvalidError)
+    assert isinstance(results.pop(1), InvalidTransactionError)
     assert results == [store.data["a"][1], store.data["b"][1]]
 
 
@@ -309,7 +309,7 @@
         task = asyncio.create_task(writer.run())
         for _ in range(3):
             state["n"] += 1
-            writer.offer("hint", lambda: Change({}, [Put("hint", dict(state))]))
+            writer.defer("hint", lambda: Mutation({}, [Put("hint", dict(state))]))
             await writer.submit([Put(f"job/{state['n']}", 1)])
             assert "hint" not in store.data  # no budget to spare
         store.spare = 12.0
@@ -326,7 +326,7 @@
 
     async def run() -> None:
         for size in (1, 2, 3, 5, 9):
-            clients = [StateClient("10.0.0.1:1", LIMITS, size) for _ in range(size)]
+            clients = [StoreClient("10.0.0.1:1", LIMITS, size) for _ in range(size)]
             clients[0].set_leading(True)
             assert sum(x.requests.rate for x in clients) <= LIMITS.rps + 1e-9
             assert sum(x.writes.rate for x in clients) <= LIMITS.write_rps + 1e-9
@@ -340,17 +340,17 @@
     class Counting(FakeStore):
         reads = scans = 0
 
-        async def get(self, key: str, first: bool = False) -> Item | None:
+        async def get(self, key: str, first: bool = False) -> KeyValue | None:
             assert key.startswith("past/")
             return await super().get(key)
 
-        async def scan(self, prefix: str) -> tuple[list[Item], int]:
+        async def scan(self, prefix: str) -> tuple[list[KeyValue], int]:
             self.scans += 1
             return await super().scan(prefix)
 
-        async def news(self, prefix: str, after: int) -> tuple[int, list[Any]] | None:
+        async def changes_since(self, prefix: str, after: int) -> tuple[int, list[Any]] | None:
             self.reads += 1
-            known = await super().news(prefix, after)
+            known = await super().changes_since(prefix, after)
             await asyncio.sleep(0)  # what is read is as old as the request
             return known
 
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -40,7 +40,7 @@
 from peathall.placement.views import Start
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, Standing, spec_from_record
-from peathall.store.client import Item, Put
+from peathall.store.client import KeyValue, Put
 from peathall.store.writer import GuardKey
 from peathall.workers.failing_jobs import Suspects
 from peathall.workers.faults import FaultTracker
@@ -221,8 +221,8 @@
         assert json.dumps(store.written[key]) == json.dumps(values)
 
 
-def item(key: str, value: Any) -> Item:
-    return Item(key, json.loads(json.dumps(value)), 3)
+def item(key: str, value: Any) -> KeyValue:
+    return KeyValue(key, json.loads(json.dumps(value)), 3)
 
 
 def play(test: Callable[[RecordingStore], Awaitable[None]]) -> RecordingStore:
@@ -253,7 +253,7 @@
         await task
 
 
-def load_jobs(jobs: Jobs, *more: Item) -> tuple[Job, Job]:
+def load_jobs(jobs: Jobs, *more: KeyValue) -> tuple[Job, Job]:
     """Both jobs of the shared record, and what else is stored."""
     live = [item(JOBS_KEY, JOBS), *[x for x in more if x.key.startswith("live/")]]
     jobs.load(live, [x for x in more if not x.key.startswith("live/")], 3)
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -30,7 +30,7 @@
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
 from peathall.protocol.heartbeats import Report, TaskReport, TaskState, Why, report_from_wire
-from peathall.store.client import Item
+from peathall.store.client import KeyValue
 from peathall.store.writer import Writer
 from peathall.workers.events import IgnoredEvents
 from peathall.workers.image_cache import Caches
@@ -298,7 +298,7 @@
         later = Caches(workers.cluster, Writer(None, store, lead(), lambda: True, lambda: None))  # type: ignore[arg-type]
         puts = [op for change in records if change is not None for op in change.ops]
         assert all(json_size(op.value) <= 8 * 1024 for op in puts)  # type: ignore[union-attr]
-        later.load([Item(op.key, op.value, 7) for op in puts])  # type: ignore[union-attr]
+        later.load([KeyValue(op.key, op.value, 7) for op in puts])  # type: ignore[union-attr]
         for number in range(900):
             machine = workers.cluster.machines[f"m-{number}"]
             machine.images.clear()
