--- a/bench/cost.py
+++ b/bench/cost.py
@@ -63,7 +63,7 @@
     for start in plan.starts:
         job, machine = cluster.jobs[start.job], cluster.machines[start.machine]
         for task in job.todo.first(start.count):
-            attempt = cluster.book(job, task, cluster.new_attempt_number(), machine, "r")
+            attempt = cluster.allocate(job, task, cluster.new_attempt_number(), machine, "r")
             attempt.enter(AttemptPhase.RUNNING, now)
     began = time.process_time()
     await placement.decide(now)
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -167,7 +167,7 @@
         size = self.cluster.types.get(machine.type)
         if size is None:
             return constants.GUARANTEED_HOLD_S
-        quiet = now - self.cluster.last_arrival > size.boot_s
+        quiet = now - self.cluster.last_submission_at > size.boot_s
         if self.guaranteed and not (quiet and self._nothing_to_do()):
             return constants.GUARANTEED_HOLD_S  # guaranteed teams need not wait: room is held ready
         if quiet:
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -280,7 +280,7 @@
             if held.lease is None:
                 held.lease = LeaderLease(ruling.lease_s, sent)
             held.lease.record_renewal(sent)
-            held.job.start_until = held.lease.until
+            held.job.start_deadline = held.lease.until
             if held.phase is BorrowPhase.RESERVED:
                 self._adopt(held)
             self._let_run(held)
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -57,7 +57,7 @@
     def note_done(self, job: Job) -> None:
         """Tasks of the job are done."""
 
-    def look_after(self, job: Job) -> None:
+    def review(self, job: Job) -> None:
         """Go on with what the job still waits for."""
 
 
@@ -145,7 +145,7 @@
     def _add(self, handoff: Handoff) -> None:
         self.handoffs[handoff.job.spec.id] = handoff
         handoff.job.held = True
-        self.cluster.book_elsewhere(handoff.job.spec)
+        self.cluster.allocate_remote(handoff.job.spec)
 
     async def _store(self, handoff: Handoff, record: HandoffRecord) -> bool:
         try:
@@ -215,12 +215,12 @@
             handoff.closing = False  # tried again with the next tick
             return
         job = handoff.job
-        handoff.enter(HandoffPhase.ENDED if job.over else HandoffPhase.RETURNED)
+        handoff.enter(HandoffPhase.ENDED if job.is_final else HandoffPhase.RETURNED)
         del self.handoffs[job.spec.id]
         job.held = False
-        job.running_elsewhere = 0
-        self.cluster.release_elsewhere(job.spec)
-        self.jobs.look_after(job)
+        job.running_remotely = 0
+        self.cluster.release_remote(job.spec)
+        self.jobs.review(job)
 
     # --- what borrowers tell -------------------------------------------------
     def heard(self, beat: Heartbeat, now: float) -> list[Ruling]:
@@ -253,11 +253,11 @@
             handoff.enter(HandoffPhase.REVOKED)
         if handoff.phase is HandoffPhase.GRANTED and handoff.lease is not None:
             handoff.lease.confirm(now, beat.lapse_s)
-            job.running_elsewhere = item.running
+            job.running_remotely = item.running
             return Ruling(item.job, item.epoch, Verdict.GRANTED, handoff.lease.lease_s)
         if item.stopping and not handoff.stopped:
             handoff.stopped = True
-            self.jobs.look_after(job)  # a cancellation can be confirmed now
+            self.jobs.review(job)  # a cancellation can be confirmed now
         return Ruling(item.job, item.epoch, Verdict.REVOKED)
 
     def _note_end(self, job: Job) -> None:
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -39,7 +39,7 @@
 from peathall.config.modes import Mode
 from peathall.config.platform import Params
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.service import Answer, Jobs
+from peathall.jobs.service import JobResponse, Jobs
 from peathall.leadership.election import TERM_KEY, TermRecord
 from peathall.placement.quotas import TeamLimits
 from peathall.placement.views import JobView, MachineView, Plan
@@ -281,7 +281,7 @@
         held = self.borrower.borrowed.get(job_id)
         return held.home if held is not None else None
 
-    async def ask_home(self, operation: str, job_id: str) -> Answer:
+    async def ask_home(self, operation: str, job_id: str) -> JobResponse:
         """What the home answers to a user; 503 if it does not, or is no neighbour any more."""
         cell = self.cells.get(self.home_of(job_id) or "")
         if cell is None:
--- a/peathall/cluster/job.py
+++ b/peathall/cluster/job.py
@@ -47,11 +47,11 @@
         "epoch",
         "grace",
         "job",
+        "last_status",
         "machine",
         "number",
         "phase",
         "round",
-        "seen",
         "since",
         "stopping",
         "task",
@@ -68,7 +68,7 @@
         self.grace = 0.0
         self.epoch = 0  # the worker's session in which it was sent or seen; 0: not known
         self.since = 0.0
-        self.seen: object = None  # what its machine last reported of it
+        self.last_status: object = None  # what its machine last reported of it
 
     def enter(self, phase: AttemptPhase, now: float) -> None:
         """The one way to change the phase; GONE is never left."""
@@ -82,7 +82,7 @@
         return self.phase is AttemptPhase.RUNNING
 
     @property
-    def leaving(self) -> bool:
+    def is_leaving(self) -> bool:
         """Its room will be free before long: it is being stopped, or its job is over."""
         return self.stopping or self.job.phase is not JobPhase.ACTIVE
 
@@ -93,25 +93,25 @@
     __slots__ = (
         "attempts",
         "backoff_until",
-        "began",
         "borrowed",
         "consecutive_failures",
         "done",
         "done_keys",
-        "end",
         "failed_on",
-        "fails_after",
+        "final_record_key",
+        "finalizing",
+        "has_started",
         "health",
         "held",
         "idle_since",
         "last_failed_attempt",
-        "late",
+        "longest_failed_run_s",
         "phase",
         "record_key",
-        "running_elsewhere",
-        "settling",
+        "running_remotely",
         "spec",
-        "start_until",
+        "start_deadline",
+        "started_late",
         "stored",
         "todo",
         "writing",
@@ -121,11 +121,11 @@
         self.spec = spec
         self.held = False  # nothing of it may start here: another cell may run it, or its lease
         # on this one has ended
-        self.start_until = math.inf  # steady time from which no start order of it may leave
+        self.start_deadline = math.inf  # steady time from which no start order of it may leave
         self.borrowed = False  # another cell's users submitted it there
-        self.running_elsewhere = 0  # tasks that run in another cell, as it last told
-        self.late = False  # it was started only once it had aged
-        self.began = False  # a task of it has run, as far as is known
+        self.running_remotely = 0  # tasks that run in another cell, as it last told
+        self.started_late = False  # it was started only once it had aged
+        self.has_started = False  # a task of it has run, as far as is known
         self.idle_since = now  # steady time since which none of its tasks has a place
         self.phase = JobPhase.ACTIVE
         self.done = Ranges()  # reported done, perhaps not stored yet
@@ -135,14 +135,14 @@
         self.attempts: dict[int, Attempt] = {}
         self.health = JobHealth.UNKNOWN
         self.failed_on: dict[str, float] = {}  # machines on which it failed, and when, in order
-        self.fails_after = 0.0  # seconds for which its tasks ran at most until they failed
+        self.longest_failed_run_s = 0.0  # seconds for which its tasks ran at most until they failed
         self.consecutive_failures = 0  # starts that failed since it was last known to go well
         self.last_failed_attempt = 0  # the latest of them
         self.backoff_until = 0.0
         self.record_key = ""  # key of the record that holds it
-        self.end = ""  # key of the record that holds its final state
+        self.final_record_key = ""  # key of the record that holds its final state
         self.writing = False  # done ranges are on their way to the store
-        self.settling: asyncio.Future[str] | None = None  # its final state is on its way there
+        self.finalizing: asyncio.Future[str] | None = None  # its final state is on its way there
 
     def enter(self, phase: JobPhase) -> None:
         """A final phase is never left; what is being cancelled is only cancelled."""
@@ -152,7 +152,7 @@
             self.phase = phase
 
     @property
-    def over(self) -> bool:
+    def is_final(self) -> bool:
         """Its final state is stored."""
         return self.phase in (JobPhase.CANCELLED, JobPhase.DONE)
 
@@ -161,7 +161,7 @@
         self.health = health
 
     @property
-    def standing(self) -> JobStatus:
+    def status(self) -> JobStatus:
         """What its user is told."""
         if self.phase is JobPhase.DONE:
             return JobStatus.DONE
@@ -173,7 +173,7 @@
     def running(self) -> int:
         """How many of its tasks run."""
         here = sum(1 for attempt in self.attempts.values() if attempt.running)
-        return here + self.running_elsewhere
+        return here + self.running_remotely
 
     def mark_done(self, task: int) -> bool:
         """True if this is news."""
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -25,7 +25,7 @@
     def __init__(self, term: int, first_attempt: int) -> None:
         self.term = term
         self.jobs: dict[str, Job] = {}
-        self.past: dict[str, JobStatus] = {}
+        self.archived: dict[str, JobStatus] = {}
         self.machines: dict[str, Machine] = {}
         self._deleted: OrderedDict[str, float] = OrderedDict()  # name -> when, the latest last
         self.types: dict[str, MachineType] = {}
@@ -33,20 +33,20 @@
         # Round key -> its attempts that may still exist, in order.
         self.rounds: dict[str, dict[Attempt, None]] = {}
         self.next_attempt = first_attempt
-        self.last_arrival = -1e9  # steady time at which the latest job became known
-        self.on_round_over: Callable[[str], None] = lambda key: None
-        self.on_room: Callable[[], None] = lambda: None
+        self.last_submission_at = -1e9  # steady time at which the latest job became known
+        self.on_round_finished: Callable[[str], None] = lambda key: None
+        self.on_capacity_freed: Callable[[], None] = lambda: None
 
     def new_attempt_number(self) -> int:
         """One that no attempt has had, in this term or an earlier one."""
         self.next_attempt += 1
         return self.next_attempt
 
-    def remember(self, job_id: str, standing: JobStatus) -> None:
+    def note_archived(self, job_id: str, status: JobStatus) -> None:
         """A job that is archived; the earliest are forgotten here, and read when asked for."""
-        self.past[job_id] = standing
-        if len(self.past) > constants.KNOWN_JOBS:
-            del self.past[next(iter(self.past))]
+        self.archived[job_id] = status
+        if len(self.archived) > constants.KNOWN_JOBS:
+            del self.archived[next(iter(self.archived))]
 
     def machine(
         self, name: str, type_: str, zone: str, spot: bool, phase: MachinePhase, now: float
@@ -74,7 +74,9 @@
         while now - next(iter(self._deleted.values())) > constants.DELETED_MEMORY_S:
             self._deleted.popitem(last=False)
 
-    def book(self, job: Job, task: int, number: int, machine: Machine, round_key: str) -> Attempt:
+    def allocate(
+        self, job: Job, task: int, number: int, machine: Machine, round_key: str
+    ) -> Attempt:
         """Take the room of a new attempt, before anything is stored or sent."""
         attempt = Attempt(job, task, number, machine.name, round_key)
         job.attempts[task] = attempt
@@ -86,13 +88,13 @@
         self.rounds.setdefault(round_key, {})[attempt] = None
         return attempt
 
-    def book_elsewhere(self, spec: JobSpec) -> None:
+    def allocate_remote(self, spec: JobSpec) -> None:
         """All of the job may run in another cell: its team's limit counts it here as well."""
         use = self.usage.setdefault(spec.team, [0.0, 0.0])
         use[0] += spec.cpus * spec.tasks
         use[1] += spec.gpus * spec.tasks
 
-    def release_elsewhere(self, spec: JobSpec) -> None:
+    def release_remote(self, spec: JobSpec) -> None:
         """Nothing of the job is in another cell any more."""
         use = self.usage[spec.team]
         use[0] -= spec.cpus * spec.tasks
@@ -107,7 +109,7 @@
         self.machines[attempt.machine].free(attempt, now)
         del job.attempts[attempt.task]
         job.requeue(attempt.task)
-        if job.began and not job.attempts:
+        if job.has_started and not job.attempts:
             job.idle_since = now  # a start that came to nothing has ended no wait
         use = self.usage[job.spec.team]
         use[0] -= job.spec.cpus
@@ -115,8 +117,8 @@
         del self.rounds[attempt.round][attempt]
         if not self.rounds[attempt.round]:
             del self.rounds[attempt.round]
-            self.on_round_over(attempt.round)
-        self.on_room()
+            self.on_round_finished(attempt.round)
+        self.on_capacity_freed()
 
     def remove_machine(self, machine: Machine, now: float, why: str) -> list[Attempt]:
         """The machine and all that was on it are gone; its attempts are released."""
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -25,8 +25,8 @@
 from peathall.http.message import Request, Response
 from peathall.http.request_queue import Rank, Turns
 from peathall.http.server import HttpServer
-from peathall.jobs.follower import Fallback
-from peathall.jobs.service import NOT_NOW, Answer
+from peathall.jobs.follower import FollowerService
+from peathall.jobs.service import RETRY_LATER, JobResponse
 from peathall.leader.term import Leader
 from peathall.leadership.election import Election, LeaderTerm
 from peathall.operator_config.settings import Operator
@@ -91,7 +91,9 @@
         )
         self.duties = self._make_duties() if mode is not Mode.OFF else None
         self.started = self.loop.time()
-        self.fallback = Fallback(self.store, settings.params, self.operator.cells is not None)
+        self.follower_service = FollowerService(
+            self.store, settings.params, self.operator.cells is not None
+        )
         sockets = settings.params.machine_limits.fd_limit
         self.api = HttpServer(self._serve, int(sockets * constants.CALLER_SHARE))
         self.turns = Turns()
@@ -203,10 +205,10 @@
                 item = await self.store.get(TYPES)
                 if item is not None:
                     types = [machine_type_from_wire(x) for x in item.value["builds"]]
-                    self.fallback.types = {t.name: t for t in types}
+                    self.follower_service.types = {t.name: t for t in types}
             except StoreError as exc:
                 log.debug("reading machine types: %s", exc)
-            await asyncio.sleep(constants.TYPES_S if self.fallback.types else 2.0)
+            await asyncio.sleep(constants.TYPES_S if self.follower_service.types else 2.0)
 
     @staticmethod
     async def _forget_task_reports() -> None:
@@ -233,7 +235,7 @@
             return codec.cbor_response(404, {"error": "no such job"})
         op = "cancel" if withdraw else "query"
         if not await self.turns.turn(Rank.CHANGE if withdraw else Rank.QUERY):
-            return self._user(NOT_NOW)
+            return self._user(RETRY_LATER)
         return self._user(await self._ask({"op": op, "id": job_id}))
 
     def _cut_off(self, now: float) -> bool:
@@ -249,7 +251,7 @@
         young = now - self.started < constants.YOUNG_S
         return Response(503 if self._cut_off(now) and not young else 200)
 
-    def _user(self, answer: Answer) -> Response:
+    def _user(self, answer: JobResponse) -> Response:
         """An answer to a user; one that we can't serve is let go, to find another controller."""
         response = user_response(answer)
         response.close = response.status == 503 and self._cut_off(self.loop.time())
@@ -289,7 +291,7 @@
 
     async def _submit(self, request: Request) -> Response:
         if not await self.turns.turn(Rank.CHANGE):
-            return self._user(NOT_NOW)
+            return self._user(RETRY_LATER)
         raw: dict[str, Any] = {}
         try:
             raw = codec.cbor_map(request.body)
@@ -304,10 +306,10 @@
             return self._user(await self._malformed(raw.get("id"), str(exc)))
         return self._user(await self._ask({"op": "accept", "job": record}, spec))
 
-    async def _malformed(self, job_id: Any, why: str) -> Answer:
+    async def _malformed(self, job_id: Any, why: str) -> JobResponse:
         """What can't be accepted may still be the repetition of what was: that one stays known,
         whatever is wrong with the repetition."""
-        known: Answer = (404, None)
+        known: JobResponse = (404, None)
         if isinstance(job_id, str) and JOB_ID.match(job_id):
             known = await self._ask({"op": "query", "id": job_id})
         if known[0] != 404:
@@ -315,7 +317,7 @@
         log.info("malformed submission: %s", why)
         return 400, {"error": why}
 
-    async def _ask(self, message: dict[str, Any], spec: JobSpec | None = None) -> Answer:
+    async def _ask(self, message: dict[str, Any], spec: JobSpec | None = None) -> JobResponse:
         """The leader here, the leader elsewhere, or else the store itself."""
         if self.leader is not None:
             if self.leader.is_active():
@@ -333,7 +335,9 @@
                     log.debug("forwarding: %s", exc)
         return await self._fallback(message, spec)
 
-    async def _local(self, leader: Leader, message: dict[str, Any], spec: JobSpec | None) -> Answer:
+    async def _local(
+        self, leader: Leader, message: dict[str, Any], spec: JobSpec | None
+    ) -> JobResponse:
         op = message["op"]
         if op == "accept":
             return await leader.accept(spec or spec_from_record(message["job"]))
@@ -341,31 +345,31 @@
             return await leader.query(message["id"])
         return await leader.cancel(message["id"])
 
-    async def _forwarded(self, message: dict[str, Any]) -> Answer:
+    async def _forwarded(self, message: dict[str, Any]) -> JobResponse:
         rank = Rank.QUERY if message.get("op") == "query" else Rank.CHANGE
         if self.leader is None or not await self.turns.turn(rank) or self.leader is None:
-            return NOT_NOW
+            return RETRY_LATER
         try:
             return await self._local(self.leader, message, None)
         except (KeyError, msgspec.ValidationError):
             return 400, None
 
-    async def _fallback(self, message: dict[str, Any], spec: JobSpec | None) -> Answer:
-        work: Awaitable[Answer]
+    async def _fallback(self, message: dict[str, Any], spec: JobSpec | None) -> JobResponse:
+        work: Awaitable[JobResponse]
         if message["op"] == "query":
-            work = self.fallback.query(message["id"])
+            work = self.follower_service.query(message["id"])
         elif message["op"] == "accept" and spec is not None:
-            work = self.fallback.accept(spec)
+            work = self.follower_service.accept(spec)
         else:
-            return NOT_NOW
+            return RETRY_LATER
         try:
             return await asyncio.wait_for(work, constants.FALLBACK_S)
         except (StoreError, TimeoutError) as exc:
             log.debug("asking the store: %s", exc)
-            return NOT_NOW
+            return RETRY_LATER
 
 
-def user_response(answer: Answer) -> Response:
+def user_response(answer: JobResponse) -> Response:
     """An answer for a user as an HTTP response."""
     status, value = answer
     retry = constants.RETRY_AFTER_S if status in (429, 503, 504) else None
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -26,7 +26,7 @@
 
 def final_value(job: Job) -> Any:
     """What is stored of a job that is over."""
-    return records.to_value(records.FinalRecord(job.standing, len(job.done)))
+    return records.to_value(records.FinalRecord(job.status, len(job.done)))
 
 
 class JobArchive:
@@ -75,7 +75,7 @@
 
     def add_end(self, job: Job, record_key: str) -> None:
         """This record holds the job's final state."""
-        job.end = record_key
+        job.final_record_key = record_key
         self.ends_left.setdefault(record_key, set()).add(job.spec.id)
 
     def _divide(self, record_key: str, here: list[Job]) -> None:
@@ -136,7 +136,7 @@
         that reads that one would bring it back to life."""
         alone = job.spec.id not in self.duplicates and job.record_key not in self.dividing
         here = not (job.held or job.borrowed)
-        return job.over and not job.attempts and not job.writing and alone and here
+        return job.is_final and not job.attempts and not job.writing and alone and here
 
     def _archive_change(self, record_key: str) -> Mutation | None:
         """Some of a record's jobs that are over, and the record without them."""
@@ -186,13 +186,13 @@
         for job in over:
             job_id = job.spec.id
             self.writer.versions.pop(records.PAST + job_id, None)  # never written again
-            self.cluster.remember(job_id, job.standing)
+            self.cluster.note_archived(job_id, job.status)
             del self.cluster.jobs[job_id]
             del self.jobs_by_record[record_key][job_id]
-            self.ends_left[job.end].discard(job_id)
-            if not self.ends_left[job.end]:
-                del self.ends_left[job.end]
-                self.cleanup.defer_delete(job.end)
+            self.ends_left[job.final_record_key].discard(job_id)
+            if not self.ends_left[job.final_record_key]:
+                del self.ends_left[job.final_record_key]
+                self.cleanup.defer_delete(job.final_record_key)
             for key in job.done_keys:
                 self.cleanup.defer_delete(key)
         if not self.jobs_by_record[record_key]:
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -12,14 +12,14 @@
 from peathall.cells.model import BORROWED
 from peathall.config.platform import Params
 from peathall.jobs import records
-from peathall.jobs.live_index import Live
-from peathall.jobs.service import NOT_NOW, Answer, can_never_run
+from peathall.jobs.live_index import LiveJobIndex
+from peathall.jobs.service import RETRY_LATER, JobResponse, can_never_run
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, JobStatus, encode_job_status, spec_to_record
 from peathall.store.client import ConflictError, Put, StoreClient
 
 
-class Fallback:
+class FollowerService:
     """While controllers can't reach one another, the polls of all users come here. What is
     not archived is known from `live`; how an archived job ended never changes, so that what
     was read of it saves later reads."""
@@ -28,26 +28,26 @@
         self.cells = cells  # jobs of other cells may stand in the store as well
         self.store = store
         self.params = params
-        self.live = Live(store)
+        self.live = LiveJobIndex(store)
         self.types: dict[str, MachineType] = {}
-        self.over: OrderedDict[str, Answer] = OrderedDict()
+        self.final_responses: OrderedDict[str, JobResponse] = OrderedDict()
 
-    def _learn(self, job_id: str, end: Answer) -> Answer:
-        self.over[job_id] = end
-        self.over.move_to_end(job_id)
-        if len(self.over) > constants.KNOWN_JOBS:
-            self.over.popitem(last=False)
+    def _learn(self, job_id: str, end: JobResponse) -> JobResponse:
+        self.final_responses[job_id] = end
+        self.final_responses.move_to_end(job_id)
+        if len(self.final_responses) > constants.KNOWN_JOBS:
+            self.final_responses.popitem(last=False)
         return end
 
-    async def query(self, job_id: str) -> Answer:
+    async def query(self, job_id: str) -> JobResponse:
         """Answer a poll from the store."""
-        end = self.over.get(job_id)
+        end = self.final_responses.get(job_id)
         if end is not None:
             return end
         await self.live.refresh()
         return await self._known(job_id) or (404, None)
 
-    async def _known(self, job_id: str) -> Answer | None:
+    async def _known(self, job_id: str) -> JobResponse | None:
         """As `live` has it just now, and else from what is archived. Whoever archives a job
         takes it out of `live` in the same commit, so what stands there is not over yet."""
         if job_id in self.live.held:
@@ -58,17 +58,17 @@
         past = await self.store.get(records.PAST + job_id)
         if past is None:
             borrowed = self.cells and await self.store.get(BORROWED + job_id) is not None
-            return NOT_NOW if borrowed else None  # its home is asked by the leader
+            return RETRY_LATER if borrowed else None  # its home is asked by the leader
         return self._learn(job_id, final(job_id, records.read_final(past.value)))
 
-    async def accept(self, spec: JobSpec) -> Answer:
+    async def accept(self, spec: JobSpec) -> JobResponse:
         """Create the job in the store, if it is not known there."""
-        if spec.id in self.over:
-            return self.over[spec.id]
+        if spec.id in self.final_responses:
+            return self.final_responses[spec.id]
         await self.live.refresh()
         if spec.id not in self.live.held:
             if not self.types:
-                return await self._known(spec.id) or NOT_NOW
+                return await self._known(spec.id) or RETRY_LATER
             why = can_never_run(spec, self.types, self.params)
             if why is not None:
                 return await self._known(spec.id) or (422, {"error": why})
@@ -81,9 +81,9 @@
                 return 201, encode_job_status(spec.id, JobStatus.QUEUED)
             except ConflictError:
                 await self.live.refresh()  # accepted before, perhaps over already
-        return await self._known(spec.id) or NOT_NOW
+        return await self._known(spec.id) or RETRY_LATER
 
 
-def final(job_id: str, end: records.FinalRecord) -> Answer:
+def final(job_id: str, end: records.FinalRecord) -> JobResponse:
     """The answer for a job that is over."""
-    return 200, encode_job_status(job_id, end.standing, end.done)
+    return 200, encode_job_status(job_id, end.status, end.done)
--- a/peathall/jobs/live_index.py
+++ b/peathall/jobs/live_index.py
@@ -12,7 +12,7 @@
 from peathall.store.client import SingleFlightRead, StoreClient
 
 
-class Live:
+class LiveJobIndex:
     """What a follower remembers of the records of live jobs."""
 
     def __init__(self, store: StoreClient) -> None:
@@ -71,4 +71,4 @@
             ends = records.read_ends(value)
             self.ended[key] = [entry.job for entry in ends]
             for entry in ends:
-                self.ends[entry.job] = records.FinalRecord(entry.standing, entry.done)
+                self.ends[entry.job] = records.FinalRecord(entry.status, entry.done)
--- a/peathall/jobs/records.py
+++ b/peathall/jobs/records.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from peathall import constants
 from peathall.cluster.ranges import Ranges
@@ -54,7 +54,7 @@
 class FinalRecord(Struct, frozen=True):
     """How an archived job ended."""
 
-    standing: JobStatus
+    status: JobStatus = field(name="standing")
     done: int = 0
 
 
@@ -62,7 +62,7 @@
     """A job's final state among others; stored as a list, by position."""
 
     job: str
-    standing: JobStatus
+    status: JobStatus
     done: int
 
 
--- a/peathall/jobs/remote.py
+++ b/peathall/jobs/remote.py
@@ -7,7 +7,7 @@
 from peathall.cluster.job import Job
 
 
-class RemoteRuns(Protocol):
+class RemoteJobs(Protocol):
     """Who knows of jobs that run in another cell, or that another cell's users submitted."""
 
     def may_confirm_cancel(self, job: Job) -> bool:
@@ -21,7 +21,7 @@
         """Further conditions on which a job of this name may be accepted: keys and versions."""
 
 
-class NothingRemote:
+class NoRemoteJobs:
     """There are no other cells."""
 
     def may_confirm_cancel(self, job: Job) -> bool:
--- a/peathall/jobs/service.py
+++ b/peathall/jobs/service.py
@@ -14,7 +14,7 @@
 from peathall.jobs import records
 from peathall.jobs.archive import JobArchive
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.remote import NothingRemote, RemoteRuns
+from peathall.jobs.remote import NoRemoteJobs, RemoteJobs
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import (
     JobSpec,
@@ -37,8 +37,8 @@
 
 log = logging.getLogger("peathall.jobs")
 
-Answer = tuple[int, dict[str, Any] | None]
-NOT_NOW: Answer = (503, None)
+JobResponse = tuple[int, dict[str, Any] | None]
+RETRY_LATER: JobResponse = (503, None)
 
 
 def can_never_run(spec: JobSpec, types: dict[str, MachineType], params: Params) -> str | None:
@@ -80,9 +80,9 @@
         on_cancelled: Callable[[Job], None],
         wall: Callable[[], float],
         cleanup: DeferredWriter | None = None,
-        remote: RemoteRuns | None = None,
+        remote: RemoteJobs | None = None,
     ) -> None:
-        self.remote = remote or NothingRemote()
+        self.remote = remote or NoRemoteJobs()
         self.cleanup = cleanup or writer
         self.cluster = cluster
         self.params = params
@@ -95,7 +95,7 @@
         self.accepting: dict[str, asyncio.Future[str]] = {}
         self.new_jobs = SharedRecordWriter(writer, cluster.term, records.JOBS, "jobs")
         self.new_ends = SharedRecordWriter(writer, cluster.term, records.ENDS, "ends")
-        self.external_jobs = SingleFlightRead(self._read_news)
+        self.external_jobs = SingleFlightRead(self._read_external_jobs)
         self.revision = 0  # up to which jobs accepted elsewhere are known
         self.background = BackgroundTasks()
         self.archive = JobArchive(
@@ -118,10 +118,10 @@
         for item in live:
             if item.key.startswith(records.JOBS):
                 for record in item.value["jobs"]:
-                    self.adopt(record, item.key)
+                    self.register(record, item.key)
         for item in live:
             if item.key.startswith(records.JOB):
-                self.adopt(item.value, item.key)
+                self.register(item.value, item.key)
         for item in live:
             if item.key.startswith(records.ENDS):
                 self._load_ends(item)
@@ -131,7 +131,7 @@
     def _load_ends(self, item: KeyValue) -> None:
         for entry in records.read_ends(item.value):
             if entry.job in self.cluster.jobs:
-                self._final(self.cluster.jobs[entry.job], entry.standing, item.key)
+                self._apply_final_status(self.cluster.jobs[entry.job], entry.status, item.key)
         if item.key not in self.archive.ends_left:
             self.cleanup.defer_delete(item.key)
 
@@ -147,7 +147,7 @@
             job.stored.add(low, high)
             job.todo.remove(low, high)
 
-    def adopt(self, record: dict[str, Any], record_key: str) -> Job:
+    def register(self, record: dict[str, Any], record_key: str) -> Job:
         """A job that stands in the store, whoever wrote it there."""
         spec = spec_from_record(record)
         job = self.cluster.jobs.get(spec.id)
@@ -156,21 +156,21 @@
             age = max(0.0, self.wall() - spec.submitted)
             job = self.cluster.jobs[spec.id] = Job(spec, now - age)
             self.archive.add(job, record_key)
-            self.cluster.last_arrival = now
+            self.cluster.last_submission_at = now
             self.on_change()
         elif job.record_key != record_key:
             self.archive.add_duplicate(job, record_key)
         return job
 
-    def _final(self, job: Job, standing: JobStatus, end: str) -> None:
-        if standing is JobStatus.DONE:
+    def _apply_final_status(self, job: Job, status: JobStatus, end: str) -> None:
+        if status is JobStatus.DONE:
             job.mark_all_done()
             job.enter(JobPhase.DONE)
         else:
             job.enter(JobPhase.CANCELLED)
         self.archive.add_end(job, end)
 
-    def resume(self) -> None:
+    def resume_unfinished(self) -> None:
         """After the rebuild: finish what an earlier leader left half done."""
         for job in list(self.cluster.jobs.values()):
             if job.phase is JobPhase.ACTIVE:
@@ -182,13 +182,13 @@
                 self.archive.archive_if_over(job)
 
     # --- requests ------------------------------------------------------------
-    async def accept(self, spec: JobSpec) -> Answer:
+    async def accept(self, spec: JobSpec) -> JobResponse:
         """A submission; answered once the job is stored."""
         known = await self._known(spec.id)
         if known is not None:
             return known
         if not self.cluster.types:
-            return NOT_NOW
+            return RETRY_LATER
         why = can_never_run(spec, self.cluster.types, self.params)
         if why is not None:
             # Whatever a repetition carries, a job that was accepted stays so: also one that
@@ -204,36 +204,36 @@
         except ConflictError:
             # Another controller accepted it, or it is over already.
             found = await self._read(spec.id)
-            return found if found is not None else NOT_NOW
+            return found if found is not None else RETRY_LATER
         finally:
             self.accepting.pop(spec.id, None)
-        self.adopt(record, record_key)
+        self.register(record, record_key)
         return 201, encode_job_status(spec.id, JobStatus.QUEUED)
 
     def knows(self, job_id: str) -> bool:
         """Whether a user of this cell has submitted a job of that name, as far as memory tells."""
         job = self.cluster.jobs.get(job_id)
         own = job is not None and not job.borrowed
-        return own or job_id in self.accepting or job_id in self.cluster.past
+        return own or job_id in self.accepting or job_id in self.cluster.archived
 
-    async def _known(self, job_id: str) -> Answer | None:
+    async def _known(self, job_id: str) -> JobResponse | None:
         pending = self.accepting.get(job_id)
         if pending is not None:
             await asyncio.wait([pending])
         job = self.cluster.jobs.get(job_id)
-        if job is not None and job.settling is not None:
+        if job is not None and job.finalizing is not None:
             # Its final state may be in the store already, where another controller
             # reads and tells it: an older answer from here would take that back.
-            await asyncio.wait([job.settling])
+            await asyncio.wait([job.finalizing])
             job = self.cluster.jobs.get(job_id)
         if job is not None:
             return 200, self.status(job)
-        standing = self.cluster.past.get(job_id)
-        if standing is not None:
-            return 200, encode_job_status(job_id, standing)
+        status = self.cluster.archived.get(job_id)
+        if status is not None:
+            return 200, encode_job_status(job_id, status)
         return None
 
-    async def _read(self, job_id: str) -> Answer | None:
+    async def _read(self, job_id: str) -> JobResponse | None:
         """Ask the store itself; what is found there becomes known here."""
         await self.external_jobs.refresh()
         known = await self._known(job_id)
@@ -243,26 +243,26 @@
         if past is None:
             return None
         final = records.read_final(past.value)
-        self.cluster.remember(job_id, final.standing)
-        return 200, encode_job_status(job_id, final.standing, final.done)
+        self.cluster.note_archived(job_id, final.status)
+        return 200, encode_job_status(job_id, final.status, final.done)
 
-    async def query(self, job_id: str) -> Answer:
+    async def query(self, job_id: str) -> JobResponse:
         """A poll for a job that memory alone can't answer."""
         known = await self._known(job_id) or await self._read(job_id)
         return known if known is not None else (404, None)
 
-    def told(self, job_id: str) -> Answer | None:
+    def cached_response(self, job_id: str) -> JobResponse | None:
         """What can be told at once, from memory: nearly all questions are answered so."""
         job = self.cluster.jobs.get(job_id)
-        return (200, self.status(job)) if job is not None and job.settling is None else None
+        return (200, self.status(job)) if job is not None and job.finalizing is None else None
 
     def status(self, job: Job) -> dict[str, Any]:
         """The job's state as told to its user."""
         done = job.spec.tasks if job.phase is JobPhase.DONE else len(job.stored)
         running = job.running if job.phase is JobPhase.ACTIVE else 0
-        return encode_job_status(job.spec.id, job.standing, done, running)
+        return encode_job_status(job.spec.id, job.status, done, running)
 
-    async def cancel(self, job_id: str) -> Answer:
+    async def cancel(self, job_id: str) -> JobResponse:
         """A cancellation; answered once it is stored."""
         if job_id not in self.cluster.jobs:
             known = await self._known(job_id) or await self._read(job_id)
@@ -272,14 +272,14 @@
                 return known  # over for good
         job = self.cluster.jobs[job_id]
         await self._cancel(job)
-        return (200, self.status(job)) if job.over else NOT_NOW
+        return (200, self.status(job)) if job.is_final else RETRY_LATER
 
     async def _cancel(self, job: Job) -> None:
         """Until it is stored; or until it turns out that a task may still be in another cell for
         too long, in which case it is tried again each second."""
-        while not job.over:
-            if job.settling is not None:
-                await asyncio.wait([job.settling])
+        while not job.is_final:
+            if job.finalizing is not None:
+                await asyncio.wait([job.finalizing])
                 continue
             # Its tasks end now, not once the answer of the store is here: that may be lost while
             # another controller has read the cancellation and told it, and as long as workers
@@ -291,16 +291,16 @@
             await self._settle(job, JobStatus.CANCELLED)
 
     # --- fates ---------------------------------------------------------------
-    async def _settle(self, job: Job, standing: JobStatus) -> None:
+    async def _settle(self, job: Job, status: JobStatus) -> None:
         """Store the final state; only then does anyone hear of it."""
-        entry = records.EndEntry(job.spec.id, standing, len(job.done))
-        job.settling = self.new_ends.add(records.to_value(entry))
+        entry = records.EndEntry(job.spec.id, status, len(job.done))
+        job.finalizing = self.new_ends.add(records.to_value(entry))
         try:
-            end = await job.settling
+            end = await job.finalizing
         finally:
-            job.settling = None
-        self._final(job, standing, end)
-        log.info("job %s is %s", job.spec.id, standing.name.lower())
+            job.finalizing = None
+        self._apply_final_status(job, status, end)
+        log.info("job %s is %s", job.spec.id, status.name.lower())
         self.archive.archive_if_over(job)
         self.on_change()
 
@@ -322,8 +322,8 @@
     async def _finish(self, job: Job) -> None:
         try:
             while job.phase is JobPhase.ACTIVE:
-                if job.settling is not None:
-                    await asyncio.wait([job.settling])
+                if job.finalizing is not None:
+                    await asyncio.wait([job.finalizing])
                 else:
                     await self._settle(job, JobStatus.DONE)
         finally:
@@ -350,20 +350,20 @@
 
         return change.then(stored)
 
-    def look_after(self, job: Job) -> None:
+    def review(self, job: Job) -> None:
         """Every second: an end that could not be stored must not be given up."""
-        if job.over:
+        if job.is_final:
             self.archive.archive_if_over(job)
         elif job.phase is JobPhase.CANCELLING:
-            if job.settling is None:
+            if job.finalizing is None:
                 self.background.spawn(self._cancel(job))
         elif len(job.done) >= job.spec.tasks:
             self.note_done(job)
 
-    def _adopt_duplicate(self, item: KeyValue) -> None:
+    def _register_duplicate(self, item: KeyValue) -> None:
         """A job as another controller accepted it: new to us, or known in another record."""
         self.writer.versions[item.key] = item.version
-        self.adopt(item.value, item.key)
+        self.register(item.value, item.key)
 
     # --- following the store -------------------------------------------------
     async def follow(self) -> None:
@@ -375,7 +375,7 @@
                 log.debug("watching jobs: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
-    async def _read_news(self) -> None:
+    async def _read_external_jobs(self) -> None:
         await self._take(await self.store.changes_since(records.JOB, self.revision))
 
     async def _take(self, news: tuple[int, list[WatchEvent]] | None) -> None:
@@ -387,8 +387,8 @@
             self.revision = max(self.revision, revision)
         for item in items:
             # Whoever wrote it made sure that it was not archived, and we alone archive.
-            if item.key.removeprefix(records.JOB) not in self.cluster.past:
-                self._adopt_duplicate(item)
+            if item.key.removeprefix(records.JOB) not in self.cluster.archived:
+                self._register_duplicate(item)
 
     def close(self) -> None:
         """The term is over."""
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -17,7 +17,7 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Settings
 from peathall.jobs import records
-from peathall.jobs.service import NOT_NOW, Answer, Jobs
+from peathall.jobs.service import RETRY_LATER, JobResponse, Jobs
 from peathall.leadership.election import TERM_KEY, LeaderTerm
 from peathall.leadership.lease import first_attempt
 from peathall.operator_config.settings import Operator
@@ -130,9 +130,9 @@
             [self.fleet, self],
             self.delegation.reclaiming if self.delegation is not None else None,
         )
-        self.cluster.on_room = self._request_round
+        self.cluster.on_capacity_freed = self._request_round
         self.cells = self._make_cells(operator, wall, rng or random.Random())
-        self.requests: set[asyncio.Task[Answer]] = set()
+        self.requests: set[asyncio.Task[JobResponse]] = set()
 
     def _make_cells(
         self, operator: Operator, wall: Callable[[], float], rng: random.Random
@@ -228,7 +228,7 @@
             if self.cells is not None:
                 await self.cells.take_over()
             self.enter(LeaderPhase.SERVING)
-            self.jobs.resume()
+            self.jobs.resume_unfinished()
             self.ready.set()
             log.info(
                 "term %d serves: %d jobs, %d machines known",
@@ -320,7 +320,7 @@
                 if self.loop.time() - self.workers.failover_at > constants.FORGET_CACHES_S:
                     self.image_caches.forget_unknown()
                 for job in list(self.cluster.jobs.values()):
-                    self.jobs.look_after(job)
+                    self.jobs.review(job)
 
     # --- requests ------------------------------------------------------------
     async def handle_heartbeat(self, heartbeat: Heartbeat) -> tuple[int, dict[str, Any] | None]:
@@ -336,17 +336,17 @@
             self.cells.borrower.stop_lapsed(self.loop.time())
         return self.workers.handle_heartbeat(heartbeat, self.loop.time())
 
-    async def _bounded(self, work: Awaitable[Answer], limit: float) -> Answer:
+    async def _bounded(self, work: Awaitable[JobResponse], limit: float) -> JobResponse:
         """Answer within the limit; what was begun goes on, so memory and store agree."""
         task = asyncio.ensure_future(work)
         self.requests.add(task)
         task.add_done_callback(self._reap)
         done, _ = await asyncio.wait([task], timeout=limit)
         if not done or task.cancelled() or task.exception() is not None or not self.is_active():
-            return NOT_NOW
+            return RETRY_LATER
         return task.result()
 
-    def _reap(self, task: asyncio.Task[Answer]) -> None:
+    def _reap(self, task: asyncio.Task[JobResponse]) -> None:
         self.requests.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.info("request given up: %r", task.exception())
@@ -354,29 +354,29 @@
     def _cannot_write(self) -> bool:
         return not self.is_active() or self.writer.phase is WriterPhase.OUTCOME_UNKNOWN
 
-    async def accept(self, spec: JobSpec) -> Answer:
+    async def accept(self, spec: JobSpec) -> JobResponse:
         """A submission."""
         if self._cannot_write():
-            return NOT_NOW
+            return RETRY_LATER
         if self.cells is not None and self.cells.home_of(spec.id):
             return await self.cells.ask_home(QUERY, spec.id)  # it is accepted, by its home
         return await self._bounded(self.jobs.accept(spec), constants.ACCEPT_S)
 
-    async def query(self, job_id: str) -> Answer:
+    async def query(self, job_id: str) -> JobResponse:
         """A poll."""
         if not self.is_active():
-            return NOT_NOW
+            return RETRY_LATER
         if self.cells is not None and self.cells.home_of(job_id):
             return await self.cells.ask_home(QUERY, job_id)
-        told = self.jobs.told(job_id)
-        if told is not None:
-            return told
+        cached_response = self.jobs.cached_response(job_id)
+        if cached_response is not None:
+            return cached_response
         return await self._bounded(self.jobs.query(job_id), constants.FORWARD_S)
 
-    async def cancel(self, job_id: str) -> Answer:
+    async def cancel(self, job_id: str) -> JobResponse:
         """A cancellation."""
         if self._cannot_write():
-            return NOT_NOW
+            return RETRY_LATER
         if self.cells is not None and self.cells.home_of(job_id):
             return await self.cells.ask_home(CANCEL, job_id)
         return await self._bounded(self.jobs.cancel(job_id), constants.ACCEPT_S)
--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -88,7 +88,7 @@
     def _fit_limit(self, spec: JobSpec, wanted: int, work: TeamWork) -> tuple[int, list[Victim]]:
         """For how many of the tasks the limit has room once the victims are gone: those that
         matter least, and no more of them than are needed. A gang needs room for all tasks."""
-        gone = [a + b for a, b in zip(work.leaving, self._stops_of(spec.team), strict=True)]
+        gone = [a + b for a, b in zip(work.is_leaving, self._stops_of(spec.team), strict=True)]
         units = [
             unit
             for unit in work.stoppable
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -117,7 +117,7 @@
         self.reclaim = reclaim or writer  # who gives back what the records name in vain
         self._number = 0
         self._sizes: dict[str, RecordSize] = {}
-        cluster.on_round_over = self.drop
+        cluster.on_round_finished = self.drop
 
     def load(self, items: list[KeyValue], now: float) -> None:
         """After a take-over: book all attempts that may still exist."""
@@ -146,7 +146,7 @@
                 if job.attempts[task].number >= entry.attempt:
                     continue
                 self.cluster.release(job.attempts[task], now)
-            attempt = self.cluster.book(job, task, entry.attempt, machine, key)
+            attempt = self.cluster.allocate(job, task, entry.attempt, machine, key)
             attempt.enter(AttemptPhase.SENT, now)
 
     def write(self, starts: list[Start], now: float) -> list[Piece]:
@@ -176,7 +176,7 @@
     def _book(self, entry: RoundEntry, key: str) -> list[Attempt]:
         job, machine = self.cluster.jobs[entry.job], self.cluster.machines[entry.machine]
         return [
-            self.cluster.book(job, task, entry.attempt, machine, key)
+            self.cluster.allocate(job, task, entry.attempt, machine, key)
             for task in Ranges(entry.tasks)
         ]
 
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -178,14 +178,14 @@
         if job is None or machine is None or job.phase is not JobPhase.ACTIVE:
             return False
         attempt = job.attempts.get(booking.task)
-        placed = attempt is not None and not attempt.leaving
+        placed = attempt is not None and not attempt.is_leaving
         return not placed and now < booking.until and self.snapshot.is_schedulable(machine, now)
 
     def _move(self, move: Move, now: float) -> None:
         """Its next place is booked: the replica may stop."""
         job = self.cluster.jobs.get(move.job)
         attempt = job.attempts.get(move.task) if job is not None else None
-        if attempt is None or attempt.leaving:  # it ended while the round was decided
+        if attempt is None or attempt.is_leaving:  # it ended while the round was decided
             return
         spec = attempt.job.spec
         log.info("replica %s/%d moves to %s", move.job, move.task, move.machine)
@@ -213,7 +213,7 @@
         left = (machine.reclaimed_at or now) - now
         for attempt in list(machine.attempts.values()):
             spec = attempt.job.spec
-            if attempt.leaving or spec.daemon:
+            if attempt.is_leaving or spec.daemon:
                 continue  # a replica is stopped once its next place is booked
             rest = max(
                 spec.expected_s - (now - attempt.since), spec.expected_s * constants.ESTIMATE_FLOOR
@@ -276,7 +276,7 @@
         for job_id in dict.fromkeys(start.job for start in starts):
             job = self.cluster.jobs[job_id]
             if job.health is not JobHealth.FAILING and not job.attempts:
-                job.late |= self.snapshot.has_aged(job, now)
+                job.started_late |= self.snapshot.has_aged(job, now)
 
     async def _start_together(self, pieces: list[Piece]) -> None:
         """Records that a gang shares: it starts once all of them are stored, or not at all."""
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -155,7 +155,7 @@
             for job in self.active()
             if job.spec.daemon
             and job.todo
-            and (job.began or job.attempts)
+            and (job.has_started or job.attempts)
             and job.health is not JobHealth.FAILING
         ]
 
@@ -254,7 +254,7 @@
     def _detail(self, machine: Machine) -> Detail:
         cpus = gpus = ram = 0.0
         for attempt in machine.attempts.values():
-            if attempt.leaving:
+            if attempt.is_leaving:
                 spec = attempt.job.spec
                 cpus, gpus, ram = cpus + spec.cpus, gpus + spec.gpus, ram + spec.ram
         return Detail(machine.fetching(), (cpus, gpus, ram), self.victims(machine, self.now))
@@ -268,11 +268,11 @@
 
     def _victim(self, attempt: Attempt, machine: Machine, now: float) -> Victim | None:
         """The attempt as one that could be stopped, unless it is to be left alone."""
-        if attempt.leaving:
+        if attempt.is_leaving:
             return None
         spec = attempt.job.spec
         ran = now - attempt.since if attempt.running else 0.0
-        if attempt.job.late and ran < constants.SETTLED_S:
+        if attempt.job.started_late and ran < constants.SETTLED_S:
             return None  # it has waited so long that its start shall count
         lost = spec.save_s if spec.checkpoint_s else ran
         if ran < constants.SETTLED_S:
@@ -298,9 +298,9 @@
             spec = job.spec
             if spec.team != team or not job.attempts:
                 continue
-            leaving = sum(1 for attempt in job.attempts.values() if attempt.leaving)
-            cpus, gpus = cpus + spec.cpus * leaving, gpus + spec.gpus * leaving
-            if spec.priority > priority and leaving < len(job.attempts):
+            is_leaving = sum(1 for attempt in job.attempts.values() if attempt.is_leaving)
+            cpus, gpus = cpus + spec.cpus * is_leaving, gpus + spec.gpus * is_leaving
+            if spec.priority > priority and is_leaving < len(job.attempts):
                 units += self._stopped_together(job)
         return TeamWork((cpus, gpus), units)
 
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -196,7 +196,7 @@
 class TeamWork:
     """What of a team's work may be stopped for its own work of higher priority."""
 
-    leaving: tuple[float, float] = (0.0, 0.0)  # CPUs and GPUs of what is being stopped already
+    is_leaving: tuple[float, float] = (0.0, 0.0)  # CPUs and GPUs of what is being stopped already
     stoppable: Sequence[Sequence[Victim]] = ()  # each inner sequence is stopped as a whole
 
 
--- a/peathall/workers/faults.py
+++ b/peathall/workers/faults.py
@@ -27,7 +27,7 @@
         job, machine = attempt.job, self.cluster.machines[attempt.machine]
         job.failed_on.pop(machine.name, None)
         job.failed_on[machine.name] = now
-        job.fails_after = max(job.fails_after, ran_s)
+        job.longest_failed_run_s = max(job.longest_failed_run_s, ran_s)
         self.watched[job.spec.id] = job
         if attempt.number != job.last_failed_attempt:
             job.last_failed_attempt = (
@@ -96,7 +96,7 @@
             if self.cluster.jobs.get(job.spec.id) is not job:
                 del self.watched[job.spec.id]
                 continue
-            enough = max(constants.PROOF_S, 2 * job.fails_after)
+            enough = max(constants.PROOF_S, 2 * job.longest_failed_run_s)
             for attempt in job.attempts.values():
                 if attempt.running and now - attempt.since > enough:
                     unhealthy += self._proven(job)
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -185,7 +185,7 @@
                     attempt = None
                 else:
                     present.add(attempt)
-                    if attempt.seen is item:
+                    if attempt.last_status is item:
                         continue  # as in the report before
             if item.state is TaskState.EXITED:
                 name = (item.job, item.task, item.attempt)
@@ -209,9 +209,9 @@
         if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.GONE):
             return
         before = attempt.phase
-        attempt.seen = item
+        attempt.last_status = item
         attempt.epoch = machine.epoch
-        attempt.job.began |= item.state is TaskState.RUNNING
+        attempt.job.has_started |= item.state is TaskState.RUNNING
         attempt.enter(PHASE_OF[item.state], now)
         if before is not attempt.phase:
             log.debug(
@@ -253,7 +253,7 @@
         return ExitedAttempt(item.job, item.task, item.attempt, done, direct_token, settled)
 
     def _done(self, job: Job, task: int, machine: Machine, now: float) -> None:
-        job.began = True
+        job.has_started = True
         self._quarantine(self.faults.note_success(job, machine, now))
         if job.spec.gang:
             # The tasks of a gang complete together: when one is done, all are.
@@ -385,7 +385,7 @@
         early = attempt.phase in (AttemptPhase.INTENDED, AttemptPhase.SENT)
         job = attempt.job
         wanted = (
-            job.phase is JobPhase.ACTIVE and not job.held and self.loop.time() < job.start_until
+            job.phase is JobPhase.ACTIVE and not job.held and self.loop.time() < job.start_deadline
         )
         return early and wanted and self._own(attempt)
 
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -47,7 +47,7 @@
         for name in names:
             machine = self.cluster.machines[name]
             task = next(iter(job.todo))
-            started.append(self.cluster.book(job, task, self.number, machine, "r"))
+            started.append(self.cluster.allocate(job, task, self.number, machine, "r"))
         for attempt in started:
             if job.spec.id in self.mistaken or attempt.machine in self.sick:
                 self.cluster.release(attempt, now)
@@ -135,7 +135,7 @@
         names = floor.names[3 * number : 3 * number + 3]
         now = 200.0 * number
         runs = [
-            floor.cluster.book(job, task, floor.number, floor.cluster.machines[name], "r")
+            floor.cluster.allocate(job, task, floor.number, floor.cluster.machines[name], "r")
             for task, name in zip(job.todo.first(3), names, strict=True)
         ]
         for attempt in runs:
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -55,9 +55,9 @@
             break
 
 
-async def look_after(jobs: Jobs) -> None:
+async def review(jobs: Jobs) -> None:
     for job in list(jobs.cluster.jobs.values()):
-        jobs.look_after(job)
+        jobs.review(job)
     await settle(jobs)
 
 
@@ -83,7 +83,7 @@
         store.write("live/job/j-1", spec_to_record(spec(id="j-1")))  # we don't hear of it
         ends(jobs, "j-0", "j-1", "j-2")
         for _ in range(4):
-            await look_after(jobs)
+            await review(jobs)
         assert sorted(jobs.cluster.jobs) == ["j-3", "j-4"]
         assert {k for k in store.data if k.startswith(records.PAST)} == {
             "past/j-0", "past/j-1", "past/j-2",
@@ -98,7 +98,7 @@
         assert (await later.query("j-9"))[0] == 404
         ends(later, "j-3", "j-4")
         for _ in range(4):
-            await look_after(later)
+            await review(later)
         assert not [k for k in store.data if k.startswith(records.LIVE)]  # nothing is left over
         running.cancel()
 
@@ -124,12 +124,12 @@
         running = asyncio.create_task(jobs.writer.run())
         await settle(jobs)
         assert sorted(jobs.cluster.jobs) == ["j-1", "j-2", "j-3"]
-        assert jobs.cluster.jobs["j-2"].standing is JobStatus.CANCELLED
+        assert jobs.cluster.jobs["j-2"].status is JobStatus.CANCELLED
         assert "live/job/j-1" not in store.data
         assert "live/jobs/00000001-0000001" in store.data
         # News of it that came before what we knew ourselves: the shared record stays.
-        jobs.adopt(spec_to_record(spec(id="j-4")), "live/job/j-4")
-        jobs.adopt(spec_to_record(spec(id="j-4")), "live/jobs/00000002-0000001")
+        jobs.register(spec_to_record(spec(id="j-4")), "live/job/j-4")
+        jobs.register(spec_to_record(spec(id="j-4")), "live/jobs/00000002-0000001")
         assert jobs.cluster.jobs["j-4"].record_key == "live/jobs/00000002-0000001"
         assert list(jobs.archive.jobs_by_record["live/jobs/00000002-0000001"]) == ["j-4"]
         running.cancel()
@@ -153,8 +153,8 @@
         await asyncio.sleep(0)
         job = jobs.cluster.jobs["j-1"]
         assert (stopped, job.phase) == (["j-1"], JobPhase.CANCELLING)
-        assert not job.over
-        assert jobs.told("j-1") is None  # neither what it was nor what it may be
+        assert not job.is_final
+        assert jobs.cached_response("j-1") is None  # neither what it was nor what it may be
         assert (await cancelling)[1]["standing"] == "aborted"  # type: ignore[index]
         assert job.phase is JobPhase.CANCELLED
         jobs.writer.stop()
@@ -196,7 +196,7 @@
         assert not jobs.archive.can_go(jobs.cluster.jobs["j-2"])
         writing = asyncio.create_task(jobs.writer.run())
         await settle(jobs)
-        await look_after(jobs)
+        await review(jobs)
         assert "past/j-2" in store.data
         left = [
             r["id"] for k in ("live/jobs/1-1", "live/jobs/1-2") for r in store.data[k][0]["jobs"]
@@ -240,7 +240,7 @@
         ends(jobs, *over)
         for _ in range(400):  # looked after at every step of what is written
             for job in list(jobs.cluster.jobs.values()):
-                jobs.look_after(job)
+                jobs.review(job)
             await asyncio.sleep(0)
         await settle(jobs)
         assert {f"past/{job_id}" for job_id in over} <= store.data.keys()
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -47,7 +47,7 @@
         assert victims(now + 21.0 + constants.SETTLED_S) == {"j-1", "j-2"}
 
         for job in (old, young):
-            job.began = job is young
+            job.has_started = job is young
             workers.cluster.release(job.attempts[0], now + 60.0)
         assert placement.snapshot.has_aged(old, now + 61.0)  # it has not run: its wait goes on
         assert not placement.snapshot.has_aged(young, now + 61.0)
@@ -71,7 +71,7 @@
         job = cluster.jobs["j-1"] = Job(spec(tasks=4, spread=True), now)
         hung = cluster.machine("m-1", "", "", False, MachinePhase.RECOVERED, now)
         for task in (0, 1):
-            cluster.book(job, task, 7, hung, "round/1")
+            cluster.allocate(job, task, 7, hung, "round/1")
         for name, zone in (("m-2", "a"), ("m-3", "b")):
             up = cluster.machine(name, "g", zone, False, MachinePhase.UP, now)
             up.confirmed, up.last_heard = True, now
@@ -116,10 +116,10 @@
 
         sick, target = up("m-1"), up("m-2")
         job = cluster.jobs["j-1"] = Job(spec(daemon=True, cpus=2.0, priority=0), now)
-        replica = cluster.book(job, 0, 7, sick, "round/1")
+        replica = cluster.allocate(job, 0, 7, sick, "round/1")
         replica.enter(AttemptPhase.RUNNING, now)
         filler = cluster.jobs["j-2"] = Job(spec(id="j-2", cpus=3.0, priority=0), now)
-        other = cluster.book(filler, 0, 8, target, "round/2")
+        other = cluster.allocate(filler, 0, 8, target, "round/2")
         other.enter(AttemptPhase.RUNNING, now)
         workers.quarantine(sick, "it fails tasks")
         await placement.round(now)
@@ -154,7 +154,7 @@
         for name in ("m-1", "m-2"):
             machine = cluster.machine(name, "g", "a", False, MachinePhase.UP, now)
             machine.confirmed, machine.last_heard = True, now
-        replica = cluster.book(job, 0, 7, cluster.machines["m-1"], "round/1")
+        replica = cluster.allocate(job, 0, 7, cluster.machines["m-1"], "round/1")
         replica.enter(AttemptPhase.RUNNING, now)
         workers.quarantine(cluster.machines["m-1"], "it fails tasks")
         decide = placement.decide
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -56,7 +56,7 @@
             workers.cluster.machines[f"m-{number}"].addr = f"10.1.0.{number}:9000"
         silent = workers.cluster.machines["m-1"]
         job = workers.cluster.jobs["j-1"] = Job(spec(daemon=True))
-        workers.cluster.book(job, 0, workers.base + 1, silent, "round/1")
+        workers.cluster.allocate(job, 0, workers.base + 1, silent, "round/1")
         workers.tick(LAST)
         workers.health.active_since = 0.0  # the leader has attended all the time
         await test(workers, new_fleet(workers, None), silent)
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -563,7 +563,7 @@
     node = new_node()
     nothing_listed = {"items": [], "more": False, "epoch": 1}
     node.store.http = RecordedHttp((200, nothing_listed), (200, {"epoch": 1, "news": []}), answer)
-    node.fallback.types = {"g8": machine_type_from_wire(BUILD)}
+    node.follower_service.types = {"g8": machine_type_from_wire(BUILD)}
     return node, node.store.http
 
 
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -9,7 +9,7 @@
 
 from peathall.cluster.ranges import Ranges
 from peathall.config.platform import StateSettings
-from peathall.jobs.follower import Fallback
+from peathall.jobs.follower import FollowerService
 from peathall.jobs.records import DONE, block_tasks, done_key, done_record, to_value
 from peathall.leadership.lease import LeaderLease, fencing_token, first_attempt
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
@@ -361,10 +361,10 @@
 
     async def run() -> None:
         client: Any = store
-        fallback = Fallback(client, None)  # type: ignore[arg-type]
+        follower_service = FollowerService(client, None)  # type: ignore[arg-type]
 
         async def told(*ids: str) -> list[str]:
-            answers = await asyncio.gather(*(fallback.query(job_id) for job_id in ids))
+            answers = await asyncio.gather(*(follower_service.query(job_id) for job_id in ids))
             return [a[1]["standing"] if a[1] else str(a[0]) for a in answers]
 
         assert await told("j-1", "j-2", "j-3", "j-4") == ["queued", "queued", "queued", "404"]
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -31,8 +31,8 @@
 from peathall.duties.gate import DutyGate
 from peathall.duties.model import ActRequest, Deletion, Duty, HolderRecord
 from peathall.duties.status import describe
-from peathall.jobs.follower import Fallback
-from peathall.jobs.live_index import Live
+from peathall.jobs.follower import FollowerService
+from peathall.jobs.live_index import LiveJobIndex
 from peathall.jobs.service import Jobs
 from peathall.leadership.election import Election, LeaderTerm
 from peathall.leadership.lease import LeaderLease, first_attempt
@@ -355,7 +355,7 @@
         async with leading(store) as jobs:
             gang, service = load_jobs(jobs)
             assert (gang.spec, service.spec) == (gang_spec(), service_spec())
-            live = Live(jobs.store)
+            live = LiveJobIndex(jobs.store)
             await live.refresh()
             assert live.held == {"j-41": 1, "j-42": 1}
 
@@ -365,11 +365,11 @@
 def test_a_job_accepted_by_another_controller() -> None:
     async def test(store: RecordingStore) -> None:
         client: Any = store
-        fallback = Fallback(client, PARAMS)
-        fallback.types = {"g": machine_type()}
-        assert (await fallback.accept(gang_spec()))[0] == 201
-        await fallback.live.refresh()
-        assert fallback.live.held == {"j-41": 1}
+        follower_service = FollowerService(client, PARAMS)
+        follower_service.types = {"g": machine_type()}
+        assert (await follower_service.accept(gang_spec()))[0] == 201
+        await follower_service.live.refresh()
+        assert follower_service.live.held == {"j-41": 1}
         async with leading(store) as jobs:
             jobs.load([item(JOB_KEY, GANG)], [], 3)
             assert jobs.cluster.jobs["j-41"].spec == gang_spec()
@@ -402,11 +402,11 @@
     async def test(store: RecordingStore) -> None:
         async with leading(store) as jobs:
             gang, service = load_jobs(jobs, item(ENDS_KEY, ENDS))
-            assert (gang.standing, service.standing) == (JobStatus.CANCELLED, JobStatus.DONE)
-            assert gang.end == service.end == ENDS_KEY
-            live = Live(jobs.store)
+            assert (gang.status, service.status) == (JobStatus.CANCELLED, JobStatus.DONE)
+            assert gang.final_record_key == service.final_record_key == ENDS_KEY
+            live = LiveJobIndex(jobs.store)
             await live.refresh()
-            assert [(job, x.standing, x.done) for job, x in live.ends.items()] == [
+            assert [(job, x.status, x.done) for job, x in live.ends.items()] == [
                 ("j-41", JobStatus.CANCELLED, 1), ("j-42", JobStatus.DONE, 3),
             ]  # fmt: skip
 
@@ -437,7 +437,7 @@
             store.write(key, value)
         client: Any = store
         async with leading(store) as jobs:
-            for asked in (jobs, Fallback(client, PARAMS)):
+            for asked in (jobs, FollowerService(client, PARAMS)):
                 assert [await asked.query(job_id) for job_id in ("j-41", "j-42")] == [
                     (200, {"id": "j-41", "standing": "aborted", "done": 1, "running": 0}),
                     (200, {"id": "j-42", "standing": "done", "done": 3, "running": 0}),
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -106,7 +106,7 @@
 def booked(workers: Workers, number: int) -> Attempt:
     job = workers.cluster.jobs["j-1"] = Job(spec(id="j-1"))
     machine = workers.cluster.machine("m-1", "g", "a", False, MachinePhase.RECOVERED, 0.0)
-    attempt = workers.cluster.book(job, 0, number, machine, "round/1")
+    attempt = workers.cluster.allocate(job, 0, number, machine, "round/1")
     attempt.enter(AttemptPhase.SENT, 0.0)
     return attempt
 
@@ -333,7 +333,9 @@
         assert view.fits(spec(tasks=9999, cpus=0.001, ram=0.0)) == constants.MACHINE_TASKS
         number = workers.cluster.new_attempt_number()
         for task in range(9000, 9000 + constants.MACHINE_TASKS + 50):
-            workers.cluster.book(job, task, number, machine, "r").enter(AttemptPhase.INTENDED, 6.0)
+            workers.cluster.allocate(job, task, number, machine, "r").enter(
+                AttemptPhase.INTENDED, 6.0
+            )
         told = []
         for seq in (3, 4):
             workers.tick(4.0 + seq)
@@ -363,7 +365,8 @@
         machine = known(workers)
         job = workers.cluster.jobs["j-1"] = Job(spec(tasks=2, daemon=True), now)
         first, second = (
-            workers.cluster.book(job, task, workers.base + 1, machine, "round/1") for task in (0, 1)
+            workers.cluster.allocate(job, task, workers.base + 1, machine, "round/1")
+            for task in (0, 1)
         )
         for attempt in (first, second):
             attempt.enter(AttemptPhase.RUNNING, now)
