--- a/bench/cost.py
+++ b/bench/cost.py
@@ -60,7 +60,7 @@
     began = time.process_time()
     plan = await placement.decide(now)
     first = time.process_time() - began
-    for start in plan.starts:
+    for start in plan.assignments:
         job, machine = cluster.jobs[start.job], cluster.machines[start.machine]
         for task in job.todo.first(start.count):
             attempt = cluster.allocate(job, task, cluster.new_attempt_number(), machine, "r")
@@ -89,7 +89,7 @@
     kind = "aged jobs" if aged else "jobs"
     print(
         f"{machines:4d} machines, {jobs:4d} {kind}: round with empty fleet {first * 1e3:6.1f} ms "
-        f"({sum(s.count for s in plan.starts)} starts), with full fleet {full * 1e3:6.1f} ms; "
+        f"({sum(s.count for s in plan.assignments)} starts), with full fleet {full * 1e3:6.1f} ms; "
         f"check-in with {len(busiest.attempts)} tasks {each * 1e3:5.2f} ms"
     )
 
--- a/peathall/autoscaling/autoscaler.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -73,7 +73,7 @@
         self.number = 0
         self.wake = asyncio.Event()
         self.unplaced: list[tuple[JobView, int]] = []
-        self.spare_room: dict[str, list[float]] = {}  # room that the last round left free
+        self.free_capacity: dict[str, list[float]] = {}  # room that the last round left free
         self.unsure: list[tuple[str, Offer, int]] = []  # rentals without an answer
         self.failed: list[str] = []  # stopped by themselves; to be taken off the list
         self.account = Account()
@@ -113,7 +113,7 @@
     # --- loop ----------------------------------------------------------------
     def note_unplaced(self, plan: Plan) -> None:
         """What a round found no room for, and the room that it left: plan rentals soon."""
-        self.unplaced, self.spare_room = plan.unplaced, plan.spare_room
+        self.unplaced, self.free_capacity = plan.unplaced, plan.free_capacity
         if self.unplaced:
             self.wake.set()
 
@@ -233,7 +233,7 @@
     # --- returning -----------------------------------------------------------
     def _shortage(self, now: float) -> Shortage:
         return Shortage(
-            [job.spec for job, _ in self.unplaced if job.aged],
+            [job.spec for job, _ in self.unplaced if job.is_starving],
             any(until > now for until in self.refused.values()),
         )
 
@@ -280,8 +280,8 @@
             if kind is not None and self._wakes(machine, now):
                 free = [machine.free_cpus, machine.free_gpus, machine.free_ram]
                 coming.append(Bin(kind, free))
-            elif kind is not None and machine.name in self.spare_room:
-                left.append(Bin(kind, list(self.spare_room[machine.name])))
+            elif kind is not None and machine.name in self.free_capacity:
+                left.append(Bin(kind, list(self.free_capacity[machine.name])))
         offers = [
             o
             for o in all_offers(list(self.cluster.types.values()))
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -60,7 +60,7 @@
     """A message of an epoch or order that a later one has replaced."""
 
 
-class RoomKeeper(Protocol):
+class CapacityKeeper(Protocol):
     """Who finds and keeps room on machines."""
 
     async def reserve(self, spec: JobSpec, until: float) -> bool:
@@ -130,7 +130,7 @@
         cluster: ClusterState,
         params: Params,
         writer: Writer,
-        room: RoomKeeper,
+        room: CapacityKeeper,
         tasks: TaskStopper,
         clock: Callable[[], float],
         on_news: Callable[[str], None],
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from peathall import constants
-from peathall.cells.borrower import BorrowedJobs, ReplacedError, RoomKeeper, TaskStopper
+from peathall.cells.borrower import BorrowedJobs, CapacityKeeper, ReplacedError, TaskStopper
 from peathall.cells.client import HEARTBEAT, OFFER, USER, CellClient
 from peathall.cells.home import CellError, HomeHandoffs
 from peathall.cells.model import (
@@ -41,7 +41,7 @@
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.service import JobResponse, Jobs
 from peathall.leadership.election import TERM_KEY, TermRecord
-from peathall.placement.quotas import TeamLimits
+from peathall.placement.quotas import TeamQuotas
 from peathall.placement.views import JobView, MachineView, Plan
 from peathall.protocol.jobs import JobSpec
 from peathall.store.client import KeyValue, Put, StoreClient
@@ -54,7 +54,7 @@
 NOT_LEADING: HttpAnswer = (503, {"error": "not entitled now"})
 
 
-class MachineRoom(RoomKeeper, Protocol):
+class MachineCapacity(CapacityKeeper, Protocol):
     """Room on this cell's machines."""
 
     deciding: asyncio.Lock  # held by a round while it decides and books
@@ -84,7 +84,7 @@
         params: Params,
         writer: Writer,
         jobs: Jobs,
-        room: MachineRoom,
+        room: MachineCapacity,
         tasks: TaskStopper,
         wall: Callable[[], float],
         is_leader: Callable[[], bool],
@@ -340,8 +340,8 @@
         if job is None or job.held or job.attempts or len(job.done):
             return False
         teams = {team.name: team for team in self.params.teams}
-        limits = TeamLimits(teams, self.cluster.usage)
-        return job.phase is JobPhase.ACTIVE and limits.room_for(spec, spec.tasks) == spec.tasks
+        limits = TeamQuotas(teams, self.cluster.usage)
+        return job.phase is JobPhase.ACTIVE and limits.allowance_for(spec, spec.tasks) == spec.tasks
 
     async def _offer(self, job: Job, cell: CellClient) -> None:
         try:
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -108,7 +108,7 @@
             view
             for view in unplaced
             if is_urgent(view.spec, self.objectives)
-            and not (view.spec.daemon or view.borrowed or view.probe or view.running_zones)
+            and not (view.spec.daemon or view.borrowed or view.is_canary or view.running_zones)
             and view.todo == view.spec.tasks <= constants.CELL_TASKS_MOST
         ]
         kept = {view.spec.id for view in found}
@@ -156,7 +156,10 @@
         if at_home_s < elsewhere_s + constants.CELL_GAIN_S:
             return None, "it should start about as soon at home"
         # A job that can meet no aim any more has a latest start far away: it is late already.
-        if not view.aged and at_home_s < view.latest_start - wall < constants.CELL_UNKNOWN_WAIT_S:
+        if (
+            not view.is_starving
+            and at_home_s < view.latest_start - wall < constants.CELL_UNKNOWN_WAIT_S
+        ):
             return None, "it meets its next aim at home"
         return self._with_room(spec, cells, now)
 
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -52,18 +52,18 @@
     """A leader's ways to the holders, for one term."""
 
     cloud: DelegatedCloud
-    reclaiming: DelegatedWrites
+    compaction: DelegatedWrites
     cleanup: DelegatedWrites
 
     async def run(self) -> None:
         """Hand over what is offered, until the term is over."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self.reclaiming.run())
+            tasks.create_task(self.compaction.run())
             tasks.create_task(self.cleanup.run())
 
     def act_directly(self) -> None:
         """Duties are off: the leader's writer takes over what waits."""
-        self.reclaiming.act_directly()
+        self.compaction.act_directly()
         self.cleanup.act_directly()
 
 
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -128,7 +128,7 @@
             wall,
             self.is_active,
             [self.fleet, self],
-            self.delegation.reclaiming if self.delegation is not None else None,
+            self.delegation.compaction if self.delegation is not None else None,
         )
         self.cluster.on_capacity_freed = self._request_round
         self.cells = self._make_cells(operator, wall, rng or random.Random())
--- a/peathall/placement/capacity.py
+++ b/peathall/placement/capacity.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MachineRoom:
+class MachineCapacity:
     """Room for some tasks on one machine, and who would have to be stopped for it."""
 
     machine: MachineView
@@ -18,18 +18,18 @@
     victims: tuple[Victim, ...] = ()
     cost: float = 0.0  # machine seconds that the victims would lose
 
-    def at_most(self, count: int) -> MachineRoom:
+    def at_most(self, count: int) -> MachineCapacity:
         """The same for no more tasks than that."""
         return replace(self, count=min(self.count, count))
 
 
-def room_with_victims(
+def capacity_with_victims(
     machine: MachineView, spec: JobSpec, wanted: int, may_stop: Callable[[Victim], bool]
-) -> MachineRoom:
+) -> MachineCapacity:
     """Room for up to `wanted` tasks, with as few stopped as that needs."""
     room = machine.room()
     count = min(fits_in(room, spec), wanted)
-    found = MachineRoom(machine, count)
+    found = MachineCapacity(machine, count)
     if count >= wanted:
         return found
     picked: list[Victim] = []
@@ -46,7 +46,7 @@
         now_fits = min(fits_in(room, spec), wanted)
         if now_fits > count:
             count = now_fits
-            found = MachineRoom(machine, count, tuple(picked), sum(v.lost for v in picked))
+            found = MachineCapacity(machine, count, tuple(picked), sum(v.lost for v in picked))
             if count >= wanted:
                 break
     return found
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -78,6 +78,6 @@
     start = job.latest_start + constants.EFFORT_WEIGHT * effort(job, totals)
     if job.borrowed:
         return (Priority.IDLE + 1, spec.priority, spec.submitted)  # after all that is ours
-    if job.aged:
+    if job.is_starving:
         return (-1, spec.submitted - gathering_s(spec))
-    return (spec.priority, not job.covered, not spec.gang, start, spec.submitted)
+    return (spec.priority, not job.within_quota, not spec.gang, start, spec.submitted)
--- a/peathall/placement/planner.py
+++ b/peathall/placement/planner.py
@@ -9,8 +9,8 @@
 from peathall.placement.ordering import order
 from peathall.placement.pool import MachinePool
 from peathall.placement.preemption import Preemption, TeamWorkLookup
-from peathall.placement.quotas import TeamLimits
-from peathall.placement.views import JobView, MachineView, Move, Plan, Start, TeamWork
+from peathall.placement.quotas import TeamQuotas
+from peathall.placement.views import Assignment, JobView, MachineView, Move, Plan, TeamWork
 from peathall.protocol.jobs import JobSpec
 
 
@@ -29,7 +29,7 @@
         reserved: Sequence[tuple[JobSpec, int]] = (),
     ) -> None:
         self.pool = MachinePool(machines, keep_ordinary, shapes)
-        self.limits = TeamLimits(teams, usage)
+        self.limits = TeamQuotas(teams, usage)
         for spec, count in reserved:
             self.limits.reserve(spec, count)
         self.plan = Plan()
@@ -47,12 +47,12 @@
         for job in sorted(waiting, key=lambda j: order(j, totals)):
             self.place(job)
             yield
-        self.plan.spare_room = {m.name: m.free for m in self.pool.machines}
+        self.plan.free_capacity = {m.name: m.free for m in self.pool.machines}
 
     def start(self, job: JobView, machine: MachineView, count: int) -> None:
         """Plan a start, and take its room and its part of the limit."""
         spec = job.spec
-        self.plan.starts.append(Start(spec.id, machine.name, count))
+        self.plan.assignments.append(Assignment(spec.id, machine.name, count))
         self.pool.take(machine, spec, count)
         machine.look().pulling.add(spec.image)
         self.limits.use(spec, count)
@@ -75,35 +75,35 @@
     def place_whole(self, job: JobView) -> None:
         """A gang: all of its tasks, or none."""
         spec = job.spec
-        if job.lingering:
+        if job.has_old_attempts:
             return
-        if self.limits.room_for(spec, spec.tasks) < spec.tasks:
-            if not self.preemption.preempt_own_team(job, spec.tasks) and job.aged:
+        if self.limits.allowance_for(spec, spec.tasks) < spec.tasks:
+            if not self.preemption.preempt_own_team(job, spec.tasks) and job.is_starving:
                 # What its team's smaller jobs give back is not for the next of them.
                 self.limits.use(spec, spec.tasks)
             return
         if self.preemption.wait_for_image(job, spec.tasks):
             return
-        if not (self.place_on_bookings(job) or self.place_gang(job)) and job.makes_room:
-            self.preemption.make_room(job, spec.tasks)
+        if not (self.place_on_reservations(job) or self.place_gang(job)) and job.may_preempt:
+            self.preemption.preempt(job, spec.tasks)
             self.plan.unplaced.append((job, spec.tasks))
 
     def place_independent(self, job: JobView) -> None:
         """Tasks of an array, or replicas: as many as room and limit allow."""
-        wanted = self.limits.room_for(job.spec, job.todo)
+        wanted = self.limits.allowance_for(job.spec, job.todo)
         over_limit = job.todo - wanted
         if wanted and self.preemption.wait_for_image(job, wanted):
             return
         left = self.place_tasks(job, wanted)
-        if left > 0 and job.makes_room:
-            self.preemption.make_room(job, left)
+        if left > 0 and job.may_preempt:
+            self.preemption.preempt(job, left)
             self.plan.unplaced.append((job, left))
-        elif over_limit and job.makes_room:
+        elif over_limit and job.may_preempt:
             self.preemption.preempt_own_team(job, over_limit)
 
     def place_tasks(self, job: JobView, wanted: int) -> int:
         """Independent tasks: as many as there is room for. Returns how many lack room."""
-        wanted -= self.start_on_bookings(job, wanted)
+        wanted -= self.start_on_reservations(job, wanted)
         if wanted <= 0:
             return wanted
         spec = job.spec
@@ -127,27 +127,27 @@
         return wanted
 
     # --- room kept before ----------------------------------------------------
-    def reserve(self, job: JobView) -> list[Start]:
+    def reserve(self, job: JobView) -> list[Assignment]:
         """Room for all of the job at once that is left after all jobs of the round; none if it
         does not suffice."""
         spec = job.spec
-        if self.limits.room_for(spec, spec.tasks) < spec.tasks:
+        if self.limits.allowance_for(spec, spec.tasks) < spec.tasks:
             return []
         self.pool.prepare([job])
-        before = len(self.plan.starts)
+        before = len(self.plan.assignments)
         found = self.place_gang(job) if spec.gang else not self.place_tasks(job, spec.tasks)
-        starts = self.plan.starts[before:]
-        del self.plan.starts[before:]
+        assignments = self.plan.assignments[before:]
+        del self.plan.assignments[before:]
         if found:
-            return starts
-        for start in starts:
+            return assignments
+        for start in assignments:
             self.pool.take(self.pool.by_name[start.machine], spec, -start.count)
             self.limits.use(spec, -start.count)
         return []
 
-    def place_on_bookings(self, job: JobView) -> bool:
+    def place_on_reservations(self, job: JobView) -> bool:
         """A gang goes to the room that was kept for all of it, or stays for the usual search."""
-        booked = {self.pool.by_name[name]: count for name, count in job.bookings.items()
+        booked = {self.pool.by_name[name]: count for name, count in job.reservations.items()
                   if name in self.pool.by_name}  # fmt: skip
         for machine, count in booked.items():
             machine.take(job.spec, -count)
@@ -160,10 +160,10 @@
         return choice is not None
 
     # --- planned moves -------------------------------------------------------
-    def start_on_bookings(self, job: JobView, wanted: int) -> int:
+    def start_on_reservations(self, job: JobView, wanted: int) -> int:
         """Replicas that were stopped for a move go to the room booked for them."""
         started = 0
-        for name, booked in job.bookings.items():
+        for name, booked in job.reservations.items():
             machine = self.pool.by_name.get(name)
             if machine is None:
                 continue
@@ -197,7 +197,7 @@
             found.sort(key=lambda machine: machine.name in job.hosts)
             self.plan.moves.append(Move(spec.id, replica.task, target.name))
         if waiting:
-            self.preemption.make_room(job, waiting)
+            self.preemption.preempt(job, waiting)
             self.plan.unplaced.append((job, waiting))
 
     def place_gang(self, job: JobView) -> bool:
--- a/peathall/placement/pool.py
+++ b/peathall/placement/pool.py
@@ -6,7 +6,7 @@
 from zlib import crc32
 
 from peathall.placement.ordering import rank
-from peathall.placement.views import EPS, Group, JobView, MachineView, allowed, fits_in
+from peathall.placement.views import EPS, JobView, MachineGroup, MachineView, allowed, fits_in
 from peathall.protocol.jobs import JobSpec
 
 
@@ -20,11 +20,11 @@
         self.by_name = {machine.name: machine for machine in machines}
         self.keep_ordinary = keep_ordinary  # some job may use no others
         self.shapes = shapes  # the largest gang of each class lately: room is spared for it
-        self.groups: dict[tuple[str, str, bool], Group] = {}
+        self.groups: dict[tuple[str, str, bool], MachineGroup] = {}
         for machine in machines:
             key = (machine.type, machine.zone, machine.spot)
             if key not in self.groups:
-                self.groups[key] = Group(machine)
+                self.groups[key] = MachineGroup(machine)
             self.groups[key].machines.append(machine)
         self.zone_names = list(dict.fromkeys(m.zone for m in machines))
         self.floor = (0.0, 0.0, 0.0)
@@ -59,7 +59,7 @@
             for shape in self.shapes
         ]  # fmt: skip
 
-    def _narrow(self, group: Group) -> None:
+    def _narrow(self, group: MachineGroup) -> None:
         cpus, gpus, ram = self.floor
         group.open = [
             m for m in group.open if m.free[0] >= cpus and m.free[1] >= gpus and m.free[2] >= ram
@@ -78,7 +78,7 @@
         """On a machine that is kept for a gang, only what ends before that can start."""
         return machine.kept_for is None or (not spec.gang and spec.expected_s < machine.kept_for)
 
-    def _allowed_groups(self, spec: JobSpec) -> list[Group]:
+    def _allowed_groups(self, spec: JobSpec) -> list[MachineGroup]:
         return [group for group in self.groups.values() if allowed(group, spec)]
 
     def usable(self, job: JobView, zone: str | None = None) -> list[MachineView]:
--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -6,9 +6,9 @@
 from math import ceil, inf
 
 from peathall import constants
-from peathall.placement.capacity import MachineRoom, free_in, room_with_victims
+from peathall.placement.capacity import MachineCapacity, capacity_with_victims, free_in
 from peathall.placement.pool import MachinePool
-from peathall.placement.quotas import TeamLimits
+from peathall.placement.quotas import TeamQuotas
 from peathall.placement.views import EPS, JobView, MachineView, Plan, TeamWork, Victim
 from peathall.protocol.jobs import JobSpec
 
@@ -22,7 +22,7 @@
     def __init__(
         self,
         pool: MachinePool,
-        limits: TeamLimits,
+        limits: TeamQuotas,
         plan: Plan,
         lowest: int,
         team_work: TeamWorkLookup,
@@ -39,13 +39,13 @@
         """Whether the rules let the job stop it."""
         if victim.key in self.stopped:
             return False
-        if victim.priority > job.spec.priority or (victim.borrowed and job.covered):
+        if victim.priority > job.spec.priority or (victim.borrowed and job.within_quota):
             return True
         # A guarantee may reach above its own priority, but that job would be placed
         # first again in the next round and the two would stop one another for ever.
         return (
-            job.covered
-            and not victim.guaranteed
+            job.within_quota
+            and not victim.within_quota
             and victim.team != job.spec.team
             and victim.priority == job.spec.priority
         )
@@ -59,7 +59,7 @@
         free = sum(m.fits(spec) for m in cached if self.pool.may_fill(m, spec))
         if not cached or free >= wanted:
             return False
-        return self.make_room(job, wanted, cached)
+        return self.preempt(job, wanted, cached)
 
     def preempt_own_team(self, job: JobView, wanted: int) -> bool:
         """The team's limit is in the way: stop work of lower priority of the same team.
@@ -69,7 +69,7 @@
         find room. Returns whether room under the limit is on its way.
         """
         spec = job.spec
-        if not job.makes_room or not (job.urgent or job.covered):
+        if not job.may_preempt or not (job.urgent or job.within_quota):
             return False
         work = self.team_work(spec.team, spec.priority)
         count, victims = self._fit_limit(spec, wanted, work)
@@ -81,7 +81,7 @@
             return False
         for victim in victims:
             self._stop(victim)
-        self.make_room(job, count)
+        self.preempt(job, count)
         self.limits.use(spec, count)
         return True
 
@@ -135,16 +135,16 @@
         stops[1] += victim.gpus
         self.pool.by_name[victim.machine].look().free_soon(victim)
 
-    def make_room(self, job: JobView, wanted: int, only: list[MachineView] | None = None) -> bool:
+    def preempt(self, job: JobView, wanted: int, only: list[MachineView] | None = None) -> bool:
         """Claim room that is or becomes free, and stop others where the rules allow it.
 
         Claimed room is taken out of this round, so that later jobs do not fill it
         up again piece by piece while a larger one waits for it.
         """
         spec = job.spec
-        if not spec.gang and not job.covered and spec.priority >= self.lowest:
+        if not spec.gang and not job.within_quota and spec.priority >= self.lowest:
             return False  # nobody may be stopped, and independent tasks need no room together
-        if not job.urgent and not job.covered:
+        if not job.urgent and not job.within_quota:
             return False
         best = self._find_room(job, wanted, only)
         if best is None and spec.gang and only is None:
@@ -157,22 +157,24 @@
 
     def _find_room(
         self, job: JobView, wanted: int, only: list[MachineView] | None = None
-    ) -> list[MachineRoom] | None:
+    ) -> list[MachineCapacity] | None:
         """Where the tasks would fit, at the least cost to those that would be stopped."""
         spec = job.spec
-        best: list[MachineRoom] | None = None
+        best: list[MachineCapacity] | None = None
         best_cost = 0.0
         for zone in self.pool.zones(spec):
             options = []
             for machine in self.pool.usable(job, zone) if only is None else only:
                 if zone is not None and machine.zone != zone:
                     continue
-                found = room_with_victims(machine, spec, wanted, lambda v: self.may_stop(v, job))
+                found = capacity_with_victims(
+                    machine, spec, wanted, lambda v: self.may_stop(v, job)
+                )
                 if found.count:
                     scarce = (machine.gpus, self.pool.keep_ordinary and not machine.spot)
                     options.append((scarce, found.cost / found.count, machine.name, found))
             options.sort(key=lambda option: option[:3])
-            chosen: list[MachineRoom] = []
+            chosen: list[MachineCapacity] = []
             left, total = wanted, 0.0
             for _, cost, _, found in options:
                 if left <= 0:
--- a/peathall/placement/quotas.py
+++ b/peathall/placement/quotas.py
@@ -9,7 +9,7 @@
 from peathall.protocol.jobs import JobSpec
 
 
-class TeamLimits:
+class TeamQuotas:
     """Use of CPUs and GPUs by team, as it is and as the round's own starts change it.
 
     Room under a limit can be reserved for a job whose turn has not come yet, or that waits for
@@ -21,7 +21,7 @@
         self._usage = {team: [use[0], use[1]] for team, use in usage.items()}
         self._reserved: dict[str, int] = {}  # job -> tasks
 
-    def room_for(self, spec: JobSpec, wanted: int) -> int:
+    def allowance_for(self, spec: JobSpec, wanted: int) -> int:
         """How many of `wanted` tasks the team's limit still allows."""
         if spec.team not in self._teams:
             return 0
@@ -52,7 +52,7 @@
 
     def reserve(self, spec: JobSpec, count: int) -> None:
         """Keep as much of the limit for the job's next tasks as `count` of them need."""
-        count = self.room_for(spec, count)
+        count = self.allowance_for(spec, count)
         if count:
             self._reserved[spec.id] = self._reserved.get(spec.id, 0) + count
             self.use(spec, count)
--- a/peathall/placement/reservations.py
+++ b/peathall/placement/reservations.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Booking:
+class Reservation:
     """Room for one task on a machine: a replica whose old attempt is not known to be gone, or a
     task of another cell's job that is not ours to run yet."""
 
@@ -23,47 +23,47 @@
     reserved: bool = False  # for another cell's job
 
 
-class Bookings:
+class Reservations:
     """All bookings of a leader. They are not stored: a new leader places the replica anew."""
 
     def __init__(self) -> None:
-        self._bookings: list[Booking] = []
+        self._bookings: list[Reservation] = []
 
-    def __iter__(self) -> Iterator[Booking]:
+    def __iter__(self) -> Iterator[Reservation]:
         return iter(self._bookings)
 
-    def add(self, booking: Booking) -> None:
+    def add(self, reservation: Reservation) -> None:
         """Keep the room from now on."""
-        self._bookings.append(booking)
+        self._bookings.append(reservation)
 
-    def prune(self, keep: Callable[[Booking], bool]) -> None:
+    def prune(self, keep: Callable[[Reservation], bool]) -> None:
         """Give up those that are used or of no use any more."""
         if self._bookings:
-            self._bookings = [booking for booking in self._bookings if keep(booking)]
+            self._bookings = [reservation for reservation in self._bookings if keep(reservation)]
 
     def reserved(self) -> list[tuple[JobSpec, int]]:
         """Of each job of another cell, for how many tasks room is kept."""
         counts: Counter[str] = Counter()
         specs: dict[str, JobSpec] = {}
-        for booking in self._bookings:
-            if booking.reserved:
-                counts[booking.spec.id] += 1
-                specs[booking.spec.id] = booking.spec
+        for reservation in self._bookings:
+            if reservation.reserved:
+                counts[reservation.spec.id] += 1
+                specs[reservation.spec.id] = reservation.spec
         return [(specs[job_id], count) for job_id, count in counts.items()]
 
     def ready(self, job: Job) -> Counter[str]:
         """Machine -> bookings for tasks of the job whose old attempts are gone."""
         return Counter(
-            booking.machine
-            for booking in self._bookings
-            if booking.spec.id == job.spec.id and booking.task in job.todo
+            reservation.machine
+            for reservation in self._bookings
+            if reservation.spec.id == job.spec.id and reservation.task in job.todo
         )
 
     def room(self) -> dict[str, list[float]]:
         """Machine -> CPUs, GPUs and memory that are booked there."""
         room: dict[str, list[float]] = {}
-        for booking in self._bookings:
-            spec, booked = booking.spec, room.setdefault(booking.machine, [0.0, 0.0, 0.0])
+        for reservation in self._bookings:
+            spec, reserved = reservation.spec, room.setdefault(reservation.machine, [0.0, 0.0, 0.0])
             for kind, need in enumerate((spec.cpus, spec.gpus, spec.ram)):
-                booked[kind] += need
+                reserved[kind] += need
         return room
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -23,7 +23,7 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.ranges import Ranges
 from peathall.cluster.state import ClusterState
-from peathall.placement.views import Start
+from peathall.placement.views import Assignment
 from peathall.protocol.codec import json_size
 from peathall.store.client import KeyValue, Put
 from peathall.store.writer import DeferredWriter, Mutation, Writer
@@ -53,47 +53,47 @@
 def split_entries(entries: list[RoundEntry], limit: int) -> list[list[RoundEntry]]:
     """Cut a round's entries into pieces that fit into one value each, between two jobs where one
     job's entries fit into a value: the intent of a gang is one step."""
-    pieces: list[list[RoundEntry]] = [[]]
+    parts: list[list[RoundEntry]] = [[]]
     size = json_size(to_record([]))
     empty = size
     for _, group in groupby(entries, key=lambda entry: entry.job):
         job = list(group)
         sizes = [json_size(msgspec.to_builtins(entry)) + 1 for entry in job]
         whole = sum(sizes)
-        if pieces[-1] and size + whole > limit and empty + whole <= limit:
-            pieces.append([])
+        if parts[-1] and size + whole > limit and empty + whole <= limit:
+            parts.append([])
             size = empty
         for entry, need in zip(job, sizes, strict=True):
-            if pieces[-1] and size + need > limit:
-                pieces.append([])
+            if parts[-1] and size + need > limit:
+                parts.append([])
                 size = empty
-            pieces[-1].append(entry)
+            parts[-1].append(entry)
             size += need
-    return [piece for piece in pieces if piece]
+    return [part for part in parts if part]
 
 
 @dataclass(slots=True)
-class Piece:
+class RecordPart:
     """One record of a round: the attempts that it names, and when it is stored."""
 
     key: str
     attempts: list[Attempt]
     stored: asyncio.Future[int]
 
-    def shares_gang_with(self, later: Piece) -> bool:
+    def shares_gang_with(self, later: RecordPart) -> bool:
         """Whether a gang that one value can't hold goes on in the later piece."""
         last = self.attempts[-1].job
         return last.spec.gang and later.attempts[0].job is last
 
 
-def joined_by_gangs(pieces: list[Piece]) -> Iterator[list[Piece]]:
+def joined_by_gangs(parts: list[RecordPart]) -> Iterator[list[RecordPart]]:
     """Pieces in order, those together that share a gang: it starts once all of them stand."""
-    joined: list[Piece] = []
-    for piece in pieces:
-        if joined and not joined[-1].shares_gang_with(piece):
+    joined: list[RecordPart] = []
+    for part in parts:
+        if joined and not joined[-1].shares_gang_with(part):
             yield joined
             joined = []
-        joined.append(piece)
+        joined.append(part)
     if joined:
         yield joined
 
@@ -110,11 +110,11 @@
     """Writes, reads, compacts and drops the records of rounds."""
 
     def __init__(
-        self, cluster: ClusterState, writer: Writer, reclaim: DeferredWriter | None = None
+        self, cluster: ClusterState, writer: Writer, compaction: DeferredWriter | None = None
     ) -> None:
         self.cluster = cluster
         self.writer = writer
-        self.reclaim = reclaim or writer  # who gives back what the records name in vain
+        self.compaction = compaction or writer  # who gives back what the records name in vain
         self._number = 0
         self._sizes: dict[str, RecordSize] = {}
         cluster.on_round_finished = self.drop
@@ -149,21 +149,21 @@
             attempt = self.cluster.allocate(job, task, entry.attempt, machine, key)
             attempt.enter(AttemptPhase.SENT, now)
 
-    def write(self, starts: list[Start], now: float) -> list[Piece]:
+    def write(self, assignments: list[Assignment], now: float) -> list[RecordPart]:
         """Book the room of the starts and hand their records to the writer."""
-        pieces = []
-        for entries in split_entries(self._entries(starts), self.writer.value_limit):
+        parts = []
+        for entries in split_entries(self._entries(assignments), self.writer.value_limit):
             self._number += 1
             key = f"{ROUND}{self.cluster.term:08d}-{self._number:07d}"
             attempts = [attempt for entry in entries for attempt in self._book(entry, key)]
             self._sizes[key] = RecordSize(len(attempts), now)
             stored = self.writer.submit([Put(key, to_record(entries))])
-            pieces.append(Piece(key, attempts, stored))
-        return pieces
+            parts.append(RecordPart(key, attempts, stored))
+        return parts
 
-    def _entries(self, starts: list[Start]) -> list[RoundEntry]:
+    def _entries(self, assignments: list[Assignment]) -> list[RoundEntry]:
         entries = []
-        for job_id, group in groupby(starts, key=lambda start: start.job):
+        for job_id, group in groupby(assignments, key=lambda start: start.job):
             waiting = iter(self.cluster.jobs[job_id].todo)
             number = self.cluster.new_attempt_number()
             for start in group:
@@ -184,7 +184,7 @@
         """None of its attempts can exist any more."""
         self._sizes.pop(key, None)
         if key in self.writer.versions:
-            self.reclaim.defer_delete(key)
+            self.compaction.defer_delete(key)
 
     def compact(self, now: float) -> None:
         """Offer to write records anew that have long named many more attempts than may exist."""
@@ -195,7 +195,7 @@
                 and now - size.since > constants.ROUND_COMPACT_S
                 and size.attempts >= constants.ROUND_COMPACT_FACTOR * len(attempts)
             ):
-                self.reclaim.defer(f"compact {key}", partial(self._compacted, key, now))
+                self.compaction.defer(f"compact {key}", partial(self._compacted, key, now))
 
     def _compacted(self, key: str, now: float) -> Mutation | None:
         attempts = list(self.cluster.rounds.get(key, ()))
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -15,10 +15,10 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
 from peathall.placement.planner import Round
-from peathall.placement.reservations import Booking, Bookings
-from peathall.placement.rounds import Piece, RoundRecords, joined_by_gangs
+from peathall.placement.reservations import Reservation, Reservations
+from peathall.placement.rounds import RecordPart, RoundRecords, joined_by_gangs
 from peathall.placement.snapshot import Snapshot
-from peathall.placement.views import MachineView, Move, Plan, Start
+from peathall.placement.views import Assignment, MachineView, Move, Plan
 from peathall.protocol.jobs import JobSpec
 from peathall.store.client import StoreError
 from peathall.store.writer import DeferredWriter, Writer
@@ -35,7 +35,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RoomRequest:
+class CapacityRequest:
     """Another cell's job that room is to be kept for, if the next round leaves enough."""
 
     spec: JobSpec
@@ -55,7 +55,7 @@
         wall: Callable[[], float],
         is_leader: Callable[[], bool],
         demand: Sequence[DemandListener],
-        reclaim: DeferredWriter | None = None,
+        compaction: DeferredWriter | None = None,
     ) -> None:
         self.cluster = cluster
         self.demand = demand
@@ -66,12 +66,12 @@
         self.is_leader = is_leader
         self.loop = asyncio.get_running_loop()
         self.wake = asyncio.Event()
-        self.bookings = Bookings()
-        self.requests: list[RoomRequest] = []
+        self.reservations = Reservations()
+        self.requests: list[CapacityRequest] = []
         # Whoever else takes from the teams' limits does it between two rounds.
         self.deciding = asyncio.Lock()
-        self.snapshot = Snapshot(cluster, params, workers, self.bookings)
-        self.rounds = RoundRecords(cluster, writer, reclaim)
+        self.snapshot = Snapshot(cluster, params, workers, self.reservations)
+        self.rounds = RoundRecords(cluster, writer, compaction)
 
     # --- rounds --------------------------------------------------------------
     def request_round(self) -> None:
@@ -105,7 +105,7 @@
                 self._preempt(job_id, task, now)
             for move in plan.moves:
                 self._move(move, now)
-            if plan.starts:
+            if plan.assignments:
                 await self._start(plan, now)
 
     async def decide(self, now: float) -> Plan:
@@ -113,7 +113,7 @@
         a long round must not hold up check-ins, users and the renewal of the lead."""
         snapshot = self.snapshot
         snapshot.begin(self.wall(), now)
-        self.bookings.prune(lambda booking: self._still_wanted(booking, now))
+        self.reservations.prune(lambda reservation: self._still_wanted(reservation, now))
         jobs = snapshot.jobs()
         if not jobs and not self.requests:
             return Plan()
@@ -139,7 +139,7 @@
     # --- room for other cells' jobs ------------------------------------------
     async def reserve(self, spec: JobSpec, until: float) -> bool:
         """Keep room for the whole job until then, if all that is ours leaves it."""
-        request = RoomRequest(spec, until, self.loop.create_future())
+        request = CapacityRequest(spec, until, self.loop.create_future())
         self.requests.append(request)
         self.request_round()
         return await request.kept
@@ -147,19 +147,19 @@
     def _answer_requests(self, current: Round) -> None:
         requests, self.requests = self.requests, []
         for request in requests:
-            starts = current.reserve(self.snapshot.offered_view(request.spec))
+            assignments = current.reserve(self.snapshot.offered_view(request.spec))
             tasks = iter(range(request.spec.tasks))
-            for start in starts:
+            for start in assignments:
                 for _ in range(start.count):
-                    self.bookings.add(
-                        Booking(request.spec, next(tasks), start.machine, request.until, True)
+                    self.reservations.add(
+                        Reservation(request.spec, next(tasks), start.machine, request.until, True)
                     )
             if not request.kept.done():
-                request.kept.set_result(bool(starts))
+                request.kept.set_result(bool(assignments))
 
     def release(self, spec: JobSpec) -> None:
         """The room that is still kept for the job is free again."""
-        self.bookings.prune(lambda booking: booking.spec.id != spec.id)
+        self.reservations.prune(lambda reservation: reservation.spec.id != spec.id)
         self.request_round()
 
     def free_machines(self) -> list[MachineView]:
@@ -170,16 +170,16 @@
         """Machines on their way, and in how many seconds they should be up."""
         return self.snapshot.booting(self.loop.time())
 
-    def _still_wanted(self, booking: Booking, now: float) -> bool:
-        job = self.cluster.jobs.get(booking.spec.id)
-        machine = self.cluster.machines.get(booking.machine)
-        if job is None and booking.reserved and machine is not None:
-            return now < booking.until and self.snapshot.is_schedulable(machine, now)
+    def _still_wanted(self, reservation: Reservation, now: float) -> bool:
+        job = self.cluster.jobs.get(reservation.spec.id)
+        machine = self.cluster.machines.get(reservation.machine)
+        if job is None and reservation.reserved and machine is not None:
+            return now < reservation.until and self.snapshot.is_schedulable(machine, now)
         if job is None or machine is None or job.phase is not JobPhase.ACTIVE:
             return False
-        attempt = job.attempts.get(booking.task)
+        attempt = job.attempts.get(reservation.task)
         placed = attempt is not None and not attempt.is_leaving
-        return not placed and now < booking.until and self.snapshot.is_schedulable(machine, now)
+        return not placed and now < reservation.until and self.snapshot.is_schedulable(machine, now)
 
     def _move(self, move: Move, now: float) -> None:
         """Its next place is booked: the replica may stop."""
@@ -192,7 +192,7 @@
         until = (
             now + self.workers.settings.lease_expiry_s
         )  # by then the old attempt is gone in any case
-        self.bookings.add(Booking(spec, move.task, move.machine, until))
+        self.reservations.add(Reservation(spec, move.task, move.machine, until))
         self._stop_in_order(attempt, now)
 
     def _preempt(self, job_id: str, task: int, now: float) -> None:
@@ -229,12 +229,12 @@
         for target in list(attempt.job.attempts.values()) if spec.gang else [attempt]:
             self.workers.stop(target, grace, now)
 
-    def _still_valid(self, starts: list[Start], now: float) -> list[Start]:
+    def _still_valid(self, assignments: list[Assignment], now: float) -> list[Assignment]:
         """What may have changed while the round was decided: jobs that ended, machines that
         are not to be used any more. Room and limits cannot: only rounds take them."""
         dead = set()
         wanted: dict[str, int] = {}
-        for start in starts:
+        for start in assignments:
             wanted[start.job] = wanted.get(start.job, 0) + start.count
             machine = self.cluster.machines.get(start.machine)
             if machine is None or not self.snapshot.is_schedulable(machine, now):
@@ -243,12 +243,12 @@
             job = self.cluster.jobs.get(job_id)
             if job is None or job.held or job.phase is not JobPhase.ACTIVE or len(job.todo) < count:
                 dead.add(job_id)
-        return [start for start in starts if start.job not in dead]
+        return [start for start in assignments if start.job not in dead]
 
-    def _tell(self, starts: list[Start]) -> None:
+    def _tell(self, assignments: list[Assignment]) -> None:
         """One line for each job, however many machines it goes to."""
         wall = self.wall()
-        for job_id, group in groupby(starts, key=lambda start: start.job):
+        for job_id, group in groupby(assignments, key=lambda start: start.job):
             spec = self.cluster.jobs[job_id].spec
             chosen = [(self.cluster.machines[start.machine], start.count) for start in group]
             log.info(
@@ -266,41 +266,41 @@
 
     async def _start(self, plan: Plan, now: float) -> None:
         """Book the room, store the intent, and only then let the starts go out."""
-        starts = self._still_valid(plan.starts, now)
-        self._tell(starts)
-        self._note_late(starts, now)
-        for pieces in joined_by_gangs(self.rounds.write(starts, now)):
-            await self._start_together(pieces)
-
-    def _note_late(self, starts: list[Start], now: float) -> None:
-        for job_id in dict.fromkeys(start.job for start in starts):
+        assignments = self._still_valid(plan.assignments, now)
+        self._tell(assignments)
+        self._note_late(assignments, now)
+        for parts in joined_by_gangs(self.rounds.write(assignments, now)):
+            await self._start_together(parts)
+
+    def _note_late(self, assignments: list[Assignment], now: float) -> None:
+        for job_id in dict.fromkeys(start.job for start in assignments):
             job = self.cluster.jobs[job_id]
             if job.health is not JobHealth.FAILING and not job.attempts:
-                job.started_late |= self.snapshot.has_aged(job, now)
+                job.started_late |= self.snapshot.is_starving(job, now)
 
-    async def _start_together(self, pieces: list[Piece]) -> None:
+    async def _start_together(self, parts: list[RecordPart]) -> None:
         """Records that a gang shares: it starts once all of them are stored, or not at all."""
-        failed: list[Piece] = []
-        for piece in pieces:
+        failed: list[RecordPart] = []
+        for part in parts:
             try:
-                await piece.stored
+                await part.stored
             except StoreError as exc:
-                log.error("the intent %s is not stored: %s", piece.key, exc)
-                failed.append(piece)
+                log.error("the intent %s is not stored: %s", part.key, exc)
+                failed.append(part)
         # Of these nothing was written, and nothing started.
-        abandoned = [attempt for piece in failed for attempt in piece.attempts]
+        abandoned = [attempt for part in failed for attempt in part.attempts]
         broken = {attempt.job for attempt in abandoned if attempt.job.spec.gang}
-        stored = [piece for piece in pieces if piece not in failed]
-        abandoned += [a for piece in stored for a in piece.attempts if a.job in broken]
+        stored = [part for part in parts if part not in failed]
+        abandoned += [a for part in stored for a in part.attempts if a.job in broken]
         for attempt in abandoned:
             self.cluster.release(attempt, self.loop.time())
-        for piece in stored:
-            self._let_start(piece)
+        for part in stored:
+            self._let_start(part)
 
-    def _let_start(self, piece: Piece) -> None:
+    def _let_start(self, part: RecordPart) -> None:
         now = self.loop.time()
         pushed: dict[str, bool] = {}  # machine -> whether all that it starts may wait
-        for attempt in piece.attempts:
+        for attempt in part.attempts:
             if attempt.phase is not AttemptPhase.PLANNED:
                 continue
             attempt.enter(AttemptPhase.INTENDED, now)
@@ -308,10 +308,10 @@
                 self.cluster.release(attempt, now)
             else:
                 spec = attempt.job.spec
-                deferrable = not spec.gang and spec.id not in self.snapshot.covered
+                deferrable = not spec.gang and spec.id not in self.snapshot.within_quota
                 pushed[attempt.machine] = deferrable and pushed.get(attempt.machine, True)
-        if piece.key not in self.cluster.rounds:
-            self.rounds.drop(piece.key)
+        if part.key not in self.cluster.rounds:
+            self.rounds.drop(part.key)
         for name, deferrable in pushed.items():
             machine = self.cluster.machines.get(name)
             if machine is not None:
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -10,10 +10,10 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
 from peathall.placement.ordering import gathering_s, latest_start
-from peathall.placement.reservations import Bookings
+from peathall.placement.reservations import Reservations
 from peathall.placement.views import (
-    Detail,
     JobView,
+    MachineDetail,
     MachineView,
     MovingReplica,
     TeamWork,
@@ -27,21 +27,21 @@
     """What a round decides on. Machines' details are looked up during the round, when needed."""
 
     def __init__(
-        self, cluster: ClusterState, params: Params, workers: Workers, bookings: Bookings
+        self, cluster: ClusterState, params: Params, workers: Workers, reservations: Reservations
     ) -> None:
         self.cluster = cluster
         self.params = params
         self.workers = workers
-        self.bookings = bookings
+        self.reservations = reservations
         self.teams = {team.name: team for team in params.teams}
         self.wall = self.now = 0.0
-        self.covered: set[str] = set()  # jobs within their teams' guarantees
+        self.within_quota: set[str] = set()  # jobs within their teams' guarantees
         self.shapes: dict[str, JobSpec] = {}  # by class, see gang_shapes()
 
     def begin(self, wall: float, now: float) -> None:
         """The round that begins at this time of day and steady time."""
         self.wall, self.now = wall, now
-        self.covered = self._within_guarantee()
+        self.within_quota = self._jobs_within_quota()
 
     def active(self) -> list[Job]:
         """Jobs with work left."""
@@ -58,7 +58,7 @@
 
     def machines(self) -> list[MachineView]:
         """Those that take new work."""
-        booked = self.bookings.room()
+        booked = self.reservations.room()
         return [
             self._machine_view(machine, booked.get(machine.name))
             for machine in self.cluster.machines.values()
@@ -96,10 +96,10 @@
                 self.shapes[spec.class_name] = spec
         return list(self.shapes.values())
 
-    def _within_guarantee(self) -> set[str]:
+    def _jobs_within_quota(self) -> set[str]:
         """Jobs that fit into their team's guarantee with the team's earlier unfinished ones."""
         sums: dict[str, list[float]] = {}
-        covered = set()
+        within_quota = set()
         # What may be mistaken takes its team's guarantee from no other job.
         active = [
             job for job in self.active() if job.health is not JobHealth.FAILING and not job.borrowed
@@ -118,8 +118,8 @@
                 and (not team.cpus or use[0] <= team.cpus)
                 and (not team.gpus or use[1] <= team.gpus)
             ):
-                covered.add(job.spec.id)
-        return covered
+                within_quota.add(job.spec.id)
+        return within_quota
 
     def _zone_unknown(self, job: Job) -> bool:
         """Whether its other tasks decide where the next may go, and one of them is on a machine
@@ -161,7 +161,7 @@
 
     def reserved(self) -> list[tuple[JobSpec, int]]:
         """What of the teams' limits is kept, for which job and how many of its tasks."""
-        return [*self.lost_replicas(), *self.bookings.reserved()]
+        return [*self.lost_replicas(), *self.reservations.reserved()]
 
     def offered_view(self, spec: JobSpec) -> JobView:
         """Another cell's job that is looked for room for."""
@@ -186,11 +186,11 @@
                 zones,
                 urgent=False,
                 avoid=avoid,
-                probe=True,
+                is_canary=True,
                 hosts=hosts,
                 moving=moving,
             )
-        bookings = self.bookings.ready(job) if job.spec.daemon or job.borrowed else None
+        reservations = self.reservations.ready(job) if job.spec.daemon or job.borrowed else None
         if job.borrowed:
             return JobView(
                 job.spec,
@@ -198,32 +198,32 @@
                 False,
                 self.wall,
                 zones,
-                lingering=job.spec.gang and bool(job.attempts),
+                has_old_attempts=job.spec.gang and bool(job.attempts),
                 urgent=False,
-                bookings=bookings,
+                reservations=reservations,
                 avoid=avoid,
                 borrowed=True,
             )
         latest = latest_start(job.spec, self.params.objectives, self.wall, 0.0)
-        aged = not job.attempts and self.has_aged(job, self.now)
+        is_starving = not job.attempts and self.is_starving(job, self.now)
         return JobView(
             job.spec,
             todo,
-            job.spec.id in self.covered,
+            job.spec.id in self.within_quota,
             latest,
             zones,
-            lingering=job.spec.gang and bool(job.attempts),
-            urgent=aged or job.spec.daemon or latest - self.wall < constants.URGENT_S,
-            aged=aged,
+            has_old_attempts=job.spec.gang and bool(job.attempts),
+            urgent=is_starving or job.spec.daemon or latest - self.wall < constants.URGENT_S,
+            is_starving=is_starving,
             hosts=hosts,
             moving=moving,
-            bookings=bookings,
+            reservations=reservations,
             avoid=avoid,
             fetch_s=self._fetch_s(job.spec),
         )
 
     @staticmethod
-    def has_aged(job: Job, now: float) -> bool:
+    def is_starving(job: Job, now: float) -> bool:
         """Whether none of its tasks has had a place for so long that it goes first."""
         return now - job.idle_since > constants.AGED_S - gathering_s(job.spec)
 
@@ -251,13 +251,13 @@
             machine.replicas,
         )
 
-    def _detail(self, machine: Machine) -> Detail:
+    def _detail(self, machine: Machine) -> MachineDetail:
         cpus = gpus = ram = 0.0
         for attempt in machine.attempts.values():
             if attempt.is_leaving:
                 spec = attempt.job.spec
                 cpus, gpus, ram = cpus + spec.cpus, gpus + spec.gpus, ram + spec.ram
-        return Detail(machine.fetching(), (cpus, gpus, ram), self.victims(machine, self.now))
+        return MachineDetail(machine.fetching(), (cpus, gpus, ram), self.victims(machine, self.now))
 
     def victims(self, machine: Machine, now: float) -> Iterator[Victim]:
         """What on the machine could be stopped."""
@@ -283,7 +283,7 @@
             (spec.cpus, spec.gpus, spec.ram),
             spec.priority,
             spec.team,
-            spec.id in self.covered,
+            spec.id in self.within_quota,
             (lost + constants.RESTART_S) * share,
             max(1.0, spec.expected_s - ran),
             machine=machine.name,
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -20,13 +20,13 @@
         "cpus",
         "ends",
         "gpus",
-        "guaranteed",
         "key",
         "lost",
         "machine",
         "priority",
         "ram",
         "team",
+        "within_quota",
     )
 
     def __init__(
@@ -35,7 +35,7 @@
         need: tuple[float, float, float],
         priority: int,
         team: str,
-        guaranteed: bool,
+        within_quota: bool,
         lost: float,
         ends: float = 0.0,
         *,
@@ -48,12 +48,12 @@
         self.cpus, self.gpus, self.ram = need
         self.priority = priority
         self.team = team
-        self.guaranteed = guaranteed  # its job is within its own team's guarantee
+        self.within_quota = within_quota  # its job is within its own team's guarantee
         self.lost = lost  # machine seconds that stopping it would lose
         self.ends = ends  # seconds after which it should end by itself, by its owner's estimate
 
 
-class Detail:
+class MachineDetail:
     """What only some decisions need to know of a machine."""
 
     __slots__ = ("_by_end", "_sorted", "_victims", "coming", "pulling")
@@ -122,7 +122,7 @@
         free: tuple[float, float, float],
         images: Container[str] = (),
         stale: int = 0,
-        detail: Callable[[], Detail] = Detail,
+        detail: Callable[[], MachineDetail] = MachineDetail,
         slots: int = constants.MACHINE_TASKS,
         replicas: int = 0,
     ) -> None:
@@ -138,10 +138,10 @@
         self.images = images
         self.stale = stale  # whole report intervals since the last report
         self.detail = detail
-        self._detail: Detail | None = None
+        self._detail: MachineDetail | None = None
         self.kept_for: float | None = None  # seconds until a gang that waits for it can start
 
-    def look(self) -> Detail:
+    def look(self) -> MachineDetail:
         """Looked up once a round, and only if a decision depends on it."""
         if self._detail is None:
             self._detail = self.detail()
@@ -164,7 +164,7 @@
         self.free[2] -= spec.ram * count
 
 
-class Group:
+class MachineGroup:
     """Machines of one type, zone and kind: what a job allows, it allows for all of them."""
 
     __slots__ = ("machines", "open", "spot", "type", "zone")
@@ -204,65 +204,65 @@
     """A job in one round: how many tasks wait, and what matters for their order."""
 
     __slots__ = (
-        "aged",
         "avoid",
-        "bookings",
         "borrowed",
-        "covered",
         "fetch_s",
+        "has_old_attempts",
         "hosts",
+        "is_canary",
+        "is_starving",
         "latest_start",
-        "lingering",
         "moving",
-        "probe",
+        "reservations",
         "running_zones",
         "spec",
         "submitted",
         "todo",
         "urgent",
+        "within_quota",
     )
 
     def __init__(
         self,
         spec: JobSpec,
         todo: int,
-        covered: bool = False,
+        within_quota: bool = False,
         latest_start: float = 0.0,
         running_zones: dict[str, int] | None = None,
-        lingering: bool = False,
+        has_old_attempts: bool = False,
         urgent: bool = True,
         avoid: Iterable[str] = (),
         fetch_s: float = 0.0,
-        aged: bool = False,
-        probe: bool = False,
+        is_starving: bool = False,
+        is_canary: bool = False,
         hosts: Collection[str] = (),
         moving: Sequence[MovingReplica] = (),
-        bookings: Mapping[str, int] | None = None,
+        reservations: Mapping[str, int] | None = None,
         borrowed: bool = False,
     ) -> None:
         self.borrowed = borrowed  # another cell's: nobody is stopped for it, nothing is rented
         self.spec = spec
         self.todo = todo
-        self.covered = covered  # within the team's guarantee
+        self.within_quota = within_quota  # within the team's guarantee
         self.latest_start = latest_start  # time of day; past means that the aim is missed
         self.running_zones = running_zones or {}
         self.fetch_s = fetch_s  # about what a machine without the image loses
         self.avoid = frozenset(avoid)  # machines on which it failed
         self.urgent = urgent  # an aim is lost unless it starts soon: worth stopping others
-        self.aged = aged  # has waited so long that nothing may go before it any more
+        self.is_starving = is_starving  # has waited so long that nothing may go before it any more
         self.hosts = hosts  # machines that have replicas of it already
         self.moving = moving  # replicas whose machines are to be left
-        self.bookings = bookings or {}  # machine -> tasks in `todo` with room booked there
-        self.probe = probe  # of a job that may be mistaken: nobody makes room for it
-        self.lingering = lingering  # a gang with attempts that are not gone yet
+        self.reservations = reservations or {}  # machine -> tasks in `todo` with room booked there
+        self.is_canary = is_canary  # of a job that may be mistaken: nobody makes room for it
+        self.has_old_attempts = has_old_attempts  # a gang with attempts that are not gone yet
 
     @property
-    def makes_room(self) -> bool:
+    def may_preempt(self) -> bool:
         """Whether others are stopped and machines rented for it."""
-        return not (self.probe or self.borrowed)
+        return not (self.is_canary or self.borrowed)
 
 
-class Start:
+class Assignment:
     """Some tasks of a job are to start on a machine."""
 
     __slots__ = ("count", "job", "machine")
@@ -276,7 +276,7 @@
         return f"Start({self.job}, {self.machine}, {self.count})"
 
     def __eq__(self, other: object) -> bool:
-        return isinstance(other, Start) and repr(self) == repr(other)
+        return isinstance(other, Assignment) and repr(self) == repr(other)
 
     __hash__ = None  # type: ignore[assignment]
 
@@ -285,11 +285,11 @@
     """What a round decided."""
 
     def __init__(self) -> None:
-        self.starts: list[Start] = []
+        self.assignments: list[Assignment] = []
         self.stops: list[tuple[str, int]] = []  # (job, task) to be stopped with time to save
         self.moves: list[Move] = []
         self.unplaced: list[tuple[JobView, int]] = []  # jobs that lack room, and for how many tasks
-        self.spare_room: dict[str, list[float]] = {}  # room left on each machine
+        self.free_capacity: dict[str, list[float]] = {}  # room left on each machine
 
 
 def fits_in(free: Sequence[float], spec: JobSpec) -> int:
@@ -304,7 +304,7 @@
     return max(0, count)
 
 
-class Place(Protocol):
+class MachineKind(Protocol):
     """What a job may be particular about: machine type, zone, and spot or ordinary."""
 
     @property
@@ -320,7 +320,7 @@
         """Whether the cloud may take it back at any time."""
 
 
-def allowed(machine: Place, spec: JobSpec) -> bool:
+def allowed(machine: MachineKind, spec: JobSpec) -> bool:
     """Whether the job may use such machines at all."""
     return (
         (spec.types is None or machine.type in spec.types)
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -183,7 +183,7 @@
             workers.cluster.machines[f"m-{number}"].idle_since = (
                 now - constants.MAKE_WAY_IDLE_S - number + 1
             )
-        job = JobView(spec(id="j-1", zone="b"), 1, aged=True)
+        job = JobView(spec(id="j-1", zone="b"), 1, is_starving=True)
         fleet.unplaced = [(job, 1)]
         assert not fleet._to_delete(now)  # nothing was refused
         fleet.refused[("g", "b", False)] = now + 200.0
@@ -196,7 +196,7 @@
         assert (
             way_made(now + constants.MAKE_WAY_S + 0.1) == constants.MAKE_WAY
         )  # sums are not exact
-        fleet.unplaced = [(JobView(spec(id="j-2"), 1, aged=True), 1)]
+        fleet.unplaced = [(JobView(spec(id="j-2"), 1, is_starving=True), 1)]
         assert not way_made(now + 3 * constants.MAKE_WAY_S)  # it could use them itself
 
     play(test)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -10,7 +10,7 @@
 from peathall.cluster.job import AttemptPhase, Job
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.placement.ordering import gathering_s, order
-from peathall.placement.views import JobView, Plan, Start
+from peathall.placement.views import Assignment, JobView, Plan
 from peathall.protocol.cloud import MachineType
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_placement, new_workers
@@ -33,7 +33,7 @@
         plan = Plan()
         for job_id, waited in (("j-1", constants.AGED_S + 1.0), ("j-2", 10.0)):
             workers.cluster.jobs[job_id] = Job(spec(id=job_id, gang=True), now - waited)
-            plan.starts.append(Start(job_id, "m-1", 1))
+            plan.assignments.append(Assignment(job_id, "m-1", 1))
         await placement._start(plan, now)
         old, young = (workers.cluster.jobs[job_id] for job_id in ("j-1", "j-2"))
 
@@ -49,9 +49,9 @@
         for job in (old, young):
             job.has_started = job is young
             workers.cluster.release(job.attempts[0], now + 60.0)
-        assert placement.snapshot.has_aged(old, now + 61.0)  # it has not run: its wait goes on
-        assert not placement.snapshot.has_aged(young, now + 61.0)
-        assert placement.snapshot.has_aged(young, now + 61.0 + constants.AGED_S)
+        assert placement.snapshot.is_starving(old, now + 61.0)  # it has not run: its wait goes on
+        assert not placement.snapshot.is_starving(young, now + 61.0)
+        assert placement.snapshot.is_starving(young, now + 61.0 + constants.AGED_S)
 
     asyncio.run(run())
 
@@ -75,9 +75,11 @@
         for name, zone in (("m-2", "a"), ("m-3", "b")):
             up = cluster.machine(name, "g", zone, False, MachinePhase.UP, now)
             up.confirmed, up.last_heard = True, now
-        assert (await placement.decide(now)).starts == []
+        assert (await placement.decide(now)).assignments == []
         cluster.machine("m-1", "g", "a", False, MachinePhase.RECOVERED, now)  # listed
-        assert [(x.machine, x.count) for x in (await placement.decide(now)).starts] == [("m-3", 2)]
+        assert [(x.machine, x.count) for x in (await placement.decide(now)).assignments] == [
+            ("m-3", 2)
+        ]
 
     asyncio.run(run())
 
@@ -85,13 +87,14 @@
 def test_among_those_that_have_aged_a_large_gang_need_not_be_the_oldest() -> None:
     """Its machines fall free one by one, while a small one finds its own soon."""
 
-    def aged(tasks: int, submitted: float) -> tuple[float, ...]:
+    def is_starving(tasks: int, submitted: float) -> tuple[float, ...]:
         return order(
-            JobView(spec(gang=True, tasks=tasks, submitted=submitted), tasks, aged=True), (9.0, 9.0)
+            JobView(spec(gang=True, tasks=tasks, submitted=submitted), tasks, is_starving=True),
+            (9.0, 9.0),
         )
 
-    assert aged(8, 60.0) < aged(1, 0.0)
-    assert aged(1, 0.0) < aged(8, 80.0)
+    assert is_starving(8, 60.0) < is_starving(1, 0.0)
+    assert is_starving(1, 0.0) < is_starving(8, 80.0)
     assert gathering_s(spec(gang=True, tasks=100)) == constants.GATHER_MOST_S < constants.AGED_S
     assert gathering_s(spec(gang=False, tasks=100)) == 0.0
 
@@ -135,9 +138,9 @@
         cluster.release(replica, now + 3.0)
         await placement.round(now + 3.0)
         assert job.attempts[0].machine == "m-2" and target.free_cpus == 0.0
-        assert list(placement.bookings) != []
+        assert list(placement.reservations) != []
         await placement.round(now + 4.0)
-        assert list(placement.bookings) == []
+        assert list(placement.reservations) == []
 
     asyncio.run(run())
 
@@ -168,6 +171,6 @@
 
         placement.decide = decide_and_lose_the_job  # type: ignore[method-assign]
         await placement.round(now)
-        assert list(placement.bookings) == []
+        assert list(placement.reservations) == []
 
     asyncio.run(run())
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -11,8 +11,8 @@
 from peathall.placement.planner import Round, make_plan
 from peathall.placement.pool import MachinePool
 from peathall.placement.views import (
-    Detail,
     JobView,
+    MachineDetail,
     MachineView,
     MovingReplica,
     Plan,
@@ -76,7 +76,7 @@
         self.free = {m.name: list(m.free) for m in machines}
         self.pulling = {m.name: set(m.look().pulling) for m in machines}
         self.used = {t: [0.0, 0.0] for t in teams}
-        self.starts: Counter[tuple[str, str]] = Counter()
+        self.assignments: Counter[tuple[str, str]] = Counter()
 
     def fits(self, m: MachineView, s: JobSpec) -> bool:
         room = self.free[m.name]
@@ -132,7 +132,7 @@
     def place(self, job: JobView) -> None:
         s = job.spec
         if not s.gang:
-            self.starts.update(self.try_place(s, None))
+            self.assignments.update(self.try_place(s, None))
             return
         options = []
         names = list(dict.fromkeys(m.zone for m in self.machines))
@@ -149,7 +149,7 @@
                 options.append((uncached, str(only), only))
             self.free, self.pulling, self.used = saved
         if options:
-            self.starts.update(self.try_place(s, min(options)[2]))
+            self.assignments.update(self.try_place(s, min(options)[2]))
 
 
 def plain_order(job: JobView, machines: list[MachineView]) -> tuple[float, ...]:
@@ -169,9 +169,9 @@
             model.place(job)
         plan = make_plan(jobs, machines, teams, {})
         got: Counter[tuple[str, str]] = Counter()
-        for start in plan.starts:
+        for start in plan.assignments:
             got[(start.job, start.machine)] += start.count
-        assert got == model.starts
+        assert got == model.assignments
         placed += sum(got.values())
     assert placed > 1000
 
@@ -181,7 +181,7 @@
 
 
 def full(priority: int, **more: object) -> MachineView:
-    detail = Detail(victims=[victim("j-9", priority, **more)])  # type: ignore[arg-type]
+    detail = MachineDetail(victims=[victim("j-9", priority, **more)])  # type: ignore[arg-type]
     view = machine("m-0", (4.0, 0.0, 8.0), detail=lambda: detail)
     view.free = [0.0, 0.0, 0.0]
     return view
@@ -201,10 +201,10 @@
     assert stops(JobView(spec(priority=1), 1, urgent=False), full(2)) == []
     # A guarantee reaches other teams' uncovered work of its own priority only: above it,
     # the two jobs stopped one another in turns, twice a second.
-    assert stops(JobView(spec(), 1, covered=True), full(2)) == [("j-9", 0)]
-    assert stops(JobView(spec(), 1, covered=True), full(1)) == []
-    assert stops(JobView(spec(), 1, covered=True), full(2, guaranteed=True)) == []
-    assert stops(JobView(spec(), 1, covered=True), full(2, team="t")) == []
+    assert stops(JobView(spec(), 1, within_quota=True), full(2)) == [("j-9", 0)]
+    assert stops(JobView(spec(), 1, within_quota=True), full(1)) == []
+    assert stops(JobView(spec(), 1, within_quota=True), full(2, guaranteed=True)) == []
+    assert stops(JobView(spec(), 1, within_quota=True), full(2, team="t")) == []
 
 
 def test_a_gang_gets_machines_kept_that_small_tasks_would_fill() -> None:
@@ -213,11 +213,11 @@
     brief = JobView(spec(id="j-3", tasks=1, estimate_s=5.0), 1)
     view = full(1)
     half = Victim(("j-9", 0), (2.0, 0.0, 4.0), 1, "u", False, 1.0, 30.0, machine="m-0")
-    detail = Detail(victims=[half])
+    detail = MachineDetail(victims=[half])
     view.detail = lambda: detail
     view.free = [2.0, 0.0, 4.0]
     plan = make_plan([gang, small, brief], [view], TEAMS, {})
-    assert [(s.job, s.count) for s in plan.starts] == [("j-3", 1)]
+    assert [(s.job, s.count) for s in plan.assignments] == [("j-3", 1)]
 
 
 def test_a_machine_with_the_image_is_cleared_for_an_urgent_job() -> None:
@@ -226,16 +226,16 @@
     empty = machine("m-1", (4.0, 0.0, 8.0))
     slow = JobView(spec(priority=1), 1, fetch_s=20.0)
     plan = make_plan([slow], [cached, empty], TEAMS, {})
-    assert (plan.stops, plan.starts) == ([("j-9", 0)], [])
+    assert (plan.stops, plan.assignments) == ([("j-9", 0)], [])
     quick = JobView(spec(priority=1), 1, fetch_s=2.0)
     plan = make_plan([quick], [cached, empty], TEAMS, {})
-    assert (plan.stops, [s.machine for s in plan.starts]) == ([], ["m-1"])
+    assert (plan.stops, [s.machine for s in plan.assignments]) == ([], ["m-1"])
 
 
 def test_a_failed_machine_is_avoided() -> None:
     views = [machine("m-0", (4.0, 0.0, 8.0)), machine("m-1", (8.0, 0.0, 16.0))]
     plan = make_plan([JobView(spec(), 1, avoid=["m-0"])], views, TEAMS, {})
-    assert [s.machine for s in plan.starts] == ["m-1"]
+    assert [s.machine for s in plan.assignments] == ["m-1"]
 
 
 def test_latest_start_takes_the_next_aim_that_can_be_met() -> None:
@@ -293,18 +293,18 @@
 def test_an_aged_gang_goes_first_and_has_its_team_s_limit_kept_for_it() -> None:
     teams = {"t": Team("t", cpus_max=8.0)}
     views = [machine(f"m-{i}", (4.0, 0.0, 8.0)) for i in range(3)]
-    gang = JobView(spec(id="j-1", gang=True, tasks=2, cpus=4.0, priority=2), 2, aged=True)
+    gang = JobView(spec(id="j-1", gang=True, tasks=2, cpus=4.0, priority=2), 2, is_starving=True)
     small = JobView(spec(id="j-2", cpus=4.0, priority=1), 1)
-    assert [s.job for s in make_plan([small, gang], views, teams, {}).starts] == ["j-1", "j-1"]
+    assert [s.job for s in make_plan([small, gang], views, teams, {}).assignments] == ["j-1", "j-1"]
     # Half of the limit is in use: a smaller job of the team would take what is left for ever.
     for view in views:
         view.free = [4.0, 0.0, 8.0]
     gang.todo, small.todo = 2, 1
-    assert make_plan([small, gang], views, teams, {"t": [4.0, 0.0]}).starts == []
-    gang.aged = False
-    assert [s.job for s in make_plan([small, gang], views, teams, {"t": [4.0, 0.0]}).starts] == [
-        "j-2"
-    ]
+    assert make_plan([small, gang], views, teams, {"t": [4.0, 0.0]}).assignments == []
+    gang.is_starving = False
+    assert [
+        s.job for s in make_plan([small, gang], views, teams, {"t": [4.0, 0.0]}).assignments
+    ] == ["j-2"]
 
 
 def test_room_for_a_whole_gang_is_spared_by_tasks_that_it_could_not_stop() -> None:
@@ -316,7 +316,7 @@
         current = Round(views, TEAMS, {}, shapes=[shape], lowest=-1)
         for _ in current.run([job]):
             pass
-        assert sum(start.count for start in current.plan.starts) == started
+        assert sum(start.count for start in current.plan.assignments) == started
 
 
 def test_replicas_of_a_job_go_to_different_machines_while_there_are_any() -> None:
@@ -324,11 +324,11 @@
     views = [machine(f"m-{i}", (4.0, 0.0, 8.0)) for i in range(3)]
     replicas = spec(tasks=4, daemon=True, estimate_s=0.0, priority=0)
     plan = make_plan([JobView(replicas, 4)], views, TEAMS, {})
-    assert sorted(start.count for start in plan.starts) == [1, 1, 1, 1]
-    assert len({start.machine for start in plan.starts}) == 3
+    assert sorted(start.count for start in plan.assignments) == [1, 1, 1, 1]
+    assert len({start.machine for start in plan.assignments}) == 3
     views = [machine(f"m-{i}", (4.0, 0.0, 8.0)) for i in range(3)]
     plan = make_plan([JobView(replicas, 1, hosts={"m-0", "m-1"})], views, TEAMS, {})
-    assert [start.machine for start in plan.starts] == ["m-2"]
+    assert [start.machine for start in plan.assignments] == ["m-2"]
     kept = machine("m-0", (4.0, 0.0, 8.0))
     kept.kept_for = 50.0
     assert not MachinePool.may_fill(kept, replicas)
@@ -367,13 +367,16 @@
     high = spec(id="j-1", priority=1, gpus=1.0)
     units = [[own_victim("j-8", 2, 1.0)], [own_victim("j-9", 3, 1.0)]]
     plan = at_the_limit(JobView(high, 1), units)
-    assert (plan.stops, plan.starts) == ([("j-9", 0)], [])  # what matters least; none starts yet
+    assert (plan.stops, plan.assignments) == (
+        [("j-9", 0)],
+        [],
+    )  # what matters least; none starts yet
     # It is on its way out: nothing else is stopped for the same room.
     assert at_the_limit(JobView(high, 1), units[:1], leaving=1.0).stops == []
     # Its equals are left alone, and so is everybody as long as there is time.
     assert at_the_limit(JobView(high, 1), [[own_victim("j-8", 1, 1.0)]]).stops == []
     assert at_the_limit(JobView(high, 1, urgent=False), units).stops == []
-    assert at_the_limit(JobView(high, 1, urgent=False, probe=True), units).stops == []
+    assert at_the_limit(JobView(high, 1, urgent=False, is_canary=True), units).stops == []
 
 
 def test_nothing_is_stopped_for_a_limit_as_long_as_no_machine_has_room() -> None:
@@ -393,9 +396,9 @@
     small = JobView(spec(id="j-2", priority=3, gpus=1.0), 1)
     plan = at_the_limit(JobView(gang, 3), [whole], others=(small,))
     assert plan.stops == [("j-9", task) for task in range(4)]
-    assert plan.starts == []
+    assert plan.assignments == []
     # One of three is free already: a smaller job would take it for ever.
-    assert at_the_limit(JobView(gang, 3), [whole], others=(small,), used=7.0).starts == []
+    assert at_the_limit(JobView(gang, 3), [whole], others=(small,), used=7.0).assignments == []
     # The gang alone is enough: the single task, cheaper but of no help, is left alone.
     assert at_the_limit(JobView(gang, 3), [*singles[:1], whole]).stops == plan.stops
 
@@ -403,16 +406,19 @@
 def test_a_lost_replica_s_room_under_the_limit_stays_its_job_s() -> None:
     """An array of the team took it, also one that had aged and goes before all others."""
     replica = spec(id="j-1", daemon=True, tasks=2, priority=0)
-    aged = JobView(spec(id="j-2", tasks=4), 4, aged=True)
+    is_starving = JobView(spec(id="j-2", tasks=4), 4, is_starving=True)
     teams = {"t": Team("t", cpus_max=3.0)}
-    for waiting in ([aged, JobView(replica, 1)], [aged]):  # on its way, or after a failed start
+    for waiting in (
+        [is_starving, JobView(replica, 1)],
+        [is_starving],
+    ):  # on its way, or after a failed start
         views = [machine("m-0", (8.0, 0.0, 16.0))]
         current = Round(views, teams, {"t": [1.0, 0.0]}, reserved=[(replica, 1)])
         for _ in current.run(waiting):
             pass
-        assert [s.count for s in current.plan.starts if s.job == "j-2"] == [1]
+        assert [s.count for s in current.plan.assignments if s.job == "j-2"] == [1]
         if len(waiting) == 2:
-            assert [s.count for s in current.plan.starts if s.job == "j-1"] == [1]
+            assert [s.count for s in current.plan.assignments if s.job == "j-1"] == [1]
 
 
 def test_a_replica_moves_once_room_for_it_is_booked() -> None:
@@ -426,7 +432,7 @@
         [("j-1", 0, "m-0")],
         [("j-1", 0, "m-2")],
     )
-    assert plan.starts == plan.stops == []
+    assert plan.assignments == plan.stops == []
     # No room: it stays where it is, and room is asked for.
     job = JobView(replicas, 0, running_zones={"a": 1, "b": 1}, moving=moving)
     plan = make_plan([job], [views[1]], TEAMS, {})
@@ -438,15 +444,15 @@
     # Gone from its old machine, it starts in the booked room, which no view shows as free.
     booked = machine("m-0", (1.0, 0.0, 8.0))
     booked.free = [0.0, 0.0, 7.0]
-    job = JobView(spec(tasks=1, daemon=True, priority=0), 1, bookings={"m-0": 1})
-    assert [s.machine for s in make_plan([job], [booked], TEAMS, {}).starts] == ["m-0"]
+    job = JobView(spec(tasks=1, daemon=True, priority=0), 1, reservations={"m-0": 1})
+    assert [s.machine for s in make_plan([job], [booked], TEAMS, {}).assignments] == ["m-0"]
     # As long as its limit is in the way, the room stays booked.
     booked = machine("m-0", (1.0, 0.0, 8.0))
     booked.free = [0.0, 0.0, 7.0]
-    job = JobView(spec(tasks=1, daemon=True, priority=0), 1, bookings={"m-0": 1})
+    job = JobView(spec(tasks=1, daemon=True, priority=0), 1, reservations={"m-0": 1})
     other = JobView(spec(id="j-2", team="u", ram=0.5), 1)
     teams = {"t": Team("t", cpus_max=1.0), "u": Team("u")}
-    assert make_plan([job, other], [booked], teams, {"t": [1.0, 0.0]}).starts == []
+    assert make_plan([job, other], [booked], teams, {"t": [1.0, 0.0]}).assignments == []
 
 
 def test_replicas_of_different_jobs_share_a_machine_only_up_to_a_few() -> None:
@@ -459,7 +465,7 @@
         for n in range(2)
     ]
     plan = make_plan(jobs, [full_of_them, few, empty], TEAMS, {})
-    assert [start.machine for start in plan.starts] == ["m-1", "m-2"]
+    assert [start.machine for start in plan.assignments] == ["m-1", "m-2"]
     # Where there is no other room, they share.
     plan = make_plan([JobView(jobs[0].spec, 1)], [full_of_them], TEAMS, {})
-    assert [start.machine for start in plan.starts] == ["m-0"]
+    assert [start.machine for start in plan.assignments] == ["m-0"]
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -14,7 +14,7 @@
 from peathall.config.platform import StateSettings
 from peathall.leadership.lease import first_attempt
 from peathall.placement.rounds import ROUND, RoundRecords, from_record
-from peathall.placement.views import Plan, Start
+from peathall.placement.views import Assignment, Plan
 from peathall.protocol.codec import json_size
 from peathall.store.client import InvalidTransactionError, KeyValue
 from peathall.store.writer import Writer
@@ -55,14 +55,14 @@
         largest = 0
         for minute in range(300):
             now = 60.0 * minute
-            starts = [Start("j-1", "m-000001", 1)] if service.todo else []
+            assignments = [Assignment("j-1", "m-000001", 1)] if service.todo else []
             short = []
             for number in range(20):
                 job_id = f"j-{minute:05d}{number:03d}"
                 cluster.jobs[job_id] = Job(spec(id=job_id))
                 short.append(job_id)
-                starts.append(Start(job_id, "m-000001", 1))
-            pieces = rounds.write(starts, now)
+                assignments.append(Assignment(job_id, "m-000001", 1))
+            pieces = rounds.write(assignments, now)
             await settle()
             largest = max(largest, *(json_size(item.value) for item in items(store)))
             assert all(piece.stored.done() for piece in pieces)
@@ -98,7 +98,7 @@
         rounds = RoundRecords(cluster, writer)
         cluster.machine("m-000001", "", "", False, MachinePhase.UP, 0.0)
         job = cluster.jobs["j-1"] = Job(spec(id="j-1", tasks=8))
-        (piece,) = rounds.write([Start("j-1", "m-000001", 8)], 0.0)
+        (piece,) = rounds.write([Assignment("j-1", "m-000001", 8)], 0.0)
         await settle()
         for attempt in piece.attempts[1:]:
             cluster.release(attempt, 1.0)
@@ -129,8 +129,8 @@
         machine = workers.cluster.machine(name, "g", "a", False, MachinePhase.UP, now)
         machine.confirmed, machine.last_heard = True, now
         if number == 0:
-            plan.starts.append(Start("j-1", name, 1))
-        plan.starts.append(Start("j-2", name, 1))
+            plan.assignments.append(Assignment("j-1", name, 1))
+        plan.assignments.append(Assignment("j-2", name, 1))
     return plan
 
 
@@ -202,7 +202,7 @@
             assert (inherited > 0) is (stored > 0) and inherited < 130
             for seq in (1, 2):
                 decided = await placement.decide(now)
-                assert {s.job for s in decided.starts if s.job == "j-2"} == (
+                assert {s.job for s in decided.assignments if s.job == "j-2"} == (
                     set() if inherited else {"j-2"}
                 )
                 for name in list(workers.cluster.machines):
@@ -212,6 +212,6 @@
                 workers.tick(now)
             assert gang.attempts == {}
             decided = await placement.decide(now)
-            assert sum(s.count for s in decided.starts if s.job == "j-2") == 130
+            assert sum(s.count for s in decided.assignments if s.job == "j-2") == 130
 
     asyncio.run(run())
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -37,7 +37,7 @@
 from peathall.leadership.election import Election, LeaderTerm
 from peathall.leadership.lease import LeaderLease, first_attempt
 from peathall.placement.rounds import RoundRecords
-from peathall.placement.views import Start
+from peathall.placement.views import Assignment
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, JobStatus, spec_from_record
 from peathall.store.client import KeyValue, Put
@@ -477,7 +477,9 @@
         async with leading(store) as jobs:
             load_jobs(jobs)
             rounds = RoundRecords(jobs.cluster, jobs.writer)
-            (piece,) = rounds.write([Start("j-41", "m-1", 3), Start("j-41", "m-2", 1)], 0.0)
+            (piece,) = rounds.write(
+                [Assignment("j-41", "m-1", 3), Assignment("j-41", "m-2", 1)], 0.0
+            )
             await piece.stored
 
     assert_written(play(test), {ROUND_KEY: [ROUND]})
