--- a/peathall/autoscaling/actions.py
+++ b/peathall/autoscaling/actions.py
@@ -19,7 +19,7 @@
     """Nothing of this type, zone and kind is to be had now."""
 
 
-class Rental(Struct, frozen=True):
+class ProvisionRequest(Struct, frozen=True):
     """Machines to be rented; repeated under its name it rents nothing more."""
 
     request: str
@@ -32,7 +32,7 @@
 class CloudActions(Protocol):
     """Rents and deletes: the cloud's client itself, or the holders of these duties."""
 
-    async def rent(self, rental: Rental) -> list[str]:
+    async def provision(self, rental: ProvisionRequest) -> list[str]:
         """The machines rented; CloudError, or NoCapacityError."""
 
     async def delete(self, machines: list[str]) -> None:
--- a/peathall/autoscaling/autoscaler.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from peathall import constants
-from peathall.autoscaling.actions import CloudActions, CloudError, NoCapacityError, Rental
+from peathall.autoscaling.actions import CloudActions, CloudError, NoCapacityError, ProvisionRequest
 from peathall.autoscaling.provider_client import CloudClient
-from peathall.autoscaling.scale_in import Returns, Shortage
-from peathall.autoscaling.scale_out import Bin, Offer, all_offers, offer_of, plan_rentals
-from peathall.autoscaling.startup_times import BootTimes
-from peathall.autoscaling.usage import Account
+from peathall.autoscaling.scale_in import CapacityShortage, ScaleIn
+from peathall.autoscaling.scale_out import Bin, MachineOffer, all_offers, offer_of, plan_scale_out
+from peathall.autoscaling.startup_times import StartupTimes
+from peathall.autoscaling.usage import UsageAccounting
 from peathall.cluster.job import JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
@@ -43,7 +43,7 @@
     return max(constants.LIST_S, pages / (constants.LIST_SHARE * rps))
 
 
-class Fleet:
+class Autoscaler:
     """Looks at the cloud's list, returns machines and rents others."""
 
     def __init__(
@@ -66,17 +66,17 @@
         self.workers = workers
         self.is_leader = is_leader
         self.on_change = on_change
-        self.boots = BootTimes(cluster)
-        self.returns = Returns(cluster, params, workers.health, self.boots, idle_hold_s)
+        self.startup_times = StartupTimes(cluster)
+        self.returns = ScaleIn(cluster, params, workers.health, self.startup_times, idle_hold_s)
         self.loop = asyncio.get_running_loop()
         self.refused: dict[tuple[str, str, bool], float] = {}
         self.number = 0
         self.wake = asyncio.Event()
         self.unplaced: list[tuple[JobView, int]] = []
         self.free_capacity: dict[str, list[float]] = {}  # room that the last round left free
-        self.unsure: list[tuple[str, Offer, int]] = []  # rentals without an answer
+        self.unsure: list[tuple[str, MachineOffer, int]] = []  # rentals without an answer
         self.failed: list[str] = []  # stopped by themselves; to be taken off the list
-        self.account = Account()
+        self.account = UsageAccounting()
         self.accounted = self.reported = self.loop.time()
         self.listed_once = False
         self.list_at = -1e9
@@ -122,8 +122,8 @@
         slow answer to one must not hold up the others."""
         async with asyncio.TaskGroup() as loops:
             loops.create_task(self._repeat(self._look, self._tick))
-            loops.create_task(self._repeat(self._return, self._tick))
-            loops.create_task(self._repeat(self._rent, self._plan_requested))
+            loops.create_task(self._repeat(self._scale_in, self._tick))
+            loops.create_task(self._repeat(self._scale_out, self._plan_requested))
 
     async def _tick(self) -> None:
         await asyncio.sleep(constants.TICK_S)
@@ -220,7 +220,7 @@
                 self.workers.machine_gone(machine, now, "not listed any more")
 
     # --- duties ---------------------------------------------------------------
-    def condemn(self, names: set[str], now: float) -> None:
+    def mark_deleting(self, names: set[str], now: float) -> None:
         """After a take-over: machines whose deletion is committed. Nothing starts there."""
         for name in names:
             machine = self.cluster.machine(name, "", "", False, MachinePhase.RECOVERED, now)
@@ -231,8 +231,8 @@
         self.actions = self.cloud
 
     # --- returning -----------------------------------------------------------
-    def _shortage(self, now: float) -> Shortage:
-        return Shortage(
+    def _shortage(self, now: float) -> CapacityShortage:
+        return CapacityShortage(
             [job.spec for job, _ in self.unplaced if job.is_starving],
             any(until > now for until in self.refused.values()),
         )
@@ -240,11 +240,11 @@
     def _to_delete(self, now: float) -> list[Machine]:
         return self.returns.to_delete(now, self._shortage(now))
 
-    async def _return(self) -> None:
-        while await self._return_some() == constants.DELETE_MAX:
+    async def _scale_in(self) -> None:
+        while await self._scale_in_batch() == constants.DELETE_MAX:
             pass  # there are more than one request may name
 
-    async def _return_some(self) -> int:
+    async def _scale_in_batch(self) -> int:
         now = self.loop.time()
         chosen = self._to_delete(now)
         # A request with more names than the protocol allows would be refused for ever.
@@ -268,7 +268,7 @@
         return len(chosen) + len(extra)
 
     # --- renting -------------------------------------------------------------
-    async def _rent(self) -> None:
+    async def _scale_out(self) -> None:
         # A rental without an answer is repeated under its own name until it has one.
         await self._all_of([self._request(*entry) for entry in self.unsure])
         if not self.listed_once or not self.unplaced:
@@ -287,9 +287,9 @@
             for o in all_offers(list(self.cluster.types.values()))
             if self.refused.get(o.key, -1e9) < now
         ]
-        rent = plan_rentals(self.unplaced, coming, left, offers)
+        provision = plan_scale_out(self.unplaced, coming, left, offers)
         requests = []
-        for offer, count in rent:
+        for offer, count in provision:
             for part in range(0, count, constants.HIRE_MAX):
                 self.number += 1
                 # The term makes the name unique for good, whoever leads later.
@@ -304,8 +304,10 @@
     def _wakes(self, machine: Machine, now: float) -> bool:
         """Whether the machine, not in use yet, should soon be."""
         if machine.phase is MachinePhase.STARTING:
-            late = now - machine.created_at > constants.BOOT_LATE * self.boots.boot_s(machine)
-            return not (late and self.boots.overtaken(machine))
+            late = now - machine.created_at > constants.BOOT_LATE * self.startup_times.boot_s(
+                machine
+            )
+            return not (late and self.startup_times.overtaken(machine))
         if not machine.listed_by_cloud:
             return False  # perhaps a late report, or a record, of one long gone
         if machine.phase is MachinePhase.RECOVERED:
@@ -319,13 +321,13 @@
             if isinstance(result, BaseException):
                 raise result
 
-    async def _request(self, request: str, offer: Offer, count: int) -> None:
+    async def _request(self, request: str, offer: MachineOffer, count: int) -> None:
         entry = (request, offer, count)
         if not self.is_leader():
             return
         try:
-            got = await self.actions.rent(
-                Rental(request, offer.type.name, offer.zone, offer.spot, count)
+            got = await self.actions.provision(
+                ProvisionRequest(request, offer.type.name, offer.zone, offer.spot, count)
             )
         except NoCapacityError:
             if entry in self.unsure:
--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -8,7 +8,7 @@
 from urllib.parse import quote
 
 from peathall import constants
-from peathall.autoscaling.actions import CloudError, NoCapacityError, Rental
+from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
 from peathall.config.platform import CloudSettings
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
@@ -69,7 +69,7 @@
                 return found
             after = page[-1].name
 
-    async def rent(self, rental: Rental) -> list[str]:
+    async def provision(self, rental: ProvisionRequest) -> list[str]:
         """Rent machines; a request repeated under its name rents nothing more."""
         wire = {
             "hire": rental.request,
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -8,7 +8,7 @@
 
 from peathall import constants
 from peathall.autoscaling.scale_out import offer_of, suits
-from peathall.autoscaling.startup_times import BootTimes
+from peathall.autoscaling.startup_times import StartupTimes
 from peathall.cluster.job import JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
@@ -20,14 +20,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Shortage:
+class CapacityShortage:
     """What the cloud does not give."""
 
     starved: list[JobSpec]  # jobs that have waited long for machines
     refused: bool  # the cloud lately gave less than was asked for
 
 
-class Returns:
+class ScaleIn:
     """Decides which machines go back: silent, unusable, taken, late or idle ones."""
 
     def __init__(
@@ -35,20 +35,20 @@
         cluster: ClusterState,
         params: Params,
         health: MachineHealth,
-        boots: BootTimes,
+        startup_times: StartupTimes,
         idle_hold_s: float | None,
     ) -> None:
         self.cluster = cluster
         self.health = health
-        self.boots = boots
+        self.startup_times = startup_times
         self.idle_hold_s = idle_hold_s
         self.guaranteed = any(team.cpus or team.gpus for team in params.teams)
         self.made_way_at = -1e9
 
-    def to_delete(self, now: float, shortage: Shortage) -> list[Machine]:
+    def to_delete(self, now: float, shortage: CapacityShortage) -> list[Machine]:
         """Machines that are of no use any more, at most as many as one request may name."""
         self.health.note_tick(now)
-        self.boots.note()
+        self.startup_times.note()
         heard, elsewhere = self.health.heard_share(now), self.health.reporting_elsewhere()
         chosen = []
         for machine in self.cluster.machines.values():
@@ -92,9 +92,9 @@
         return ""
 
     def _why_delete_booting(self, machine: Machine, now: float) -> str:
-        overtaken = self.boots.overtaken(machine)
+        overtaken = self.startup_times.overtaken(machine)
         patience = constants.BOOT_PATIENCE if overtaken else constants.BOOT_PATIENCE_ALL
-        limit = max(constants.BOOT_PATIENCE_MIN_S, patience * self.boots.boot_s(machine))
+        limit = max(constants.BOOT_PATIENCE_MIN_S, patience * self.startup_times.boot_s(machine))
         return "it never came up" if now - machine.created_at > limit else ""
 
     @staticmethod
@@ -130,7 +130,7 @@
             and self.health.most_heard(now)
         )
 
-    def _make_way(self, now: float, shortage: Shortage) -> list[Machine]:
+    def _make_way(self, now: float, shortage: CapacityShortage) -> list[Machine]:
         """A cloud that refuses what a job has long waited for may have given all it has: a few
         machines that have long been idle and are of no use to the job are not held beside it.
         Seldom, since clouds mostly count each type and zone by itself."""
--- a/peathall/autoscaling/scale_out.py
+++ b/peathall/autoscaling/scale_out.py
@@ -12,7 +12,7 @@
 from peathall.protocol.jobs import JobSpec
 
 
-class Offer(Struct, frozen=True):
+class MachineOffer(Struct, frozen=True):
     """One kind of machine that the cloud might rent."""
 
     type: MachineType
@@ -35,7 +35,7 @@
 
     __slots__ = ("free", "offer")
 
-    def __init__(self, offer: Offer, free: list[float] | None = None) -> None:
+    def __init__(self, offer: MachineOffer, free: list[float] | None = None) -> None:
         self.offer = offer
         self.free = free or [offer.type.cpus, offer.type.gpus, offer.type.ram]
 
@@ -46,7 +46,7 @@
         self.free[2] -= spec.ram * count
 
 
-def suits(offer: Offer, spec: JobSpec) -> bool:
+def suits(offer: MachineOffer, spec: JobSpec) -> bool:
     """Whether a task of the job may run on such a machine, and fits."""
     kind = offer.type
     return (
@@ -59,29 +59,31 @@
     )
 
 
-def offer_of(machine: Machine, types: Mapping[str, MachineType]) -> Offer | None:
+def offer_of(machine: Machine, types: Mapping[str, MachineType]) -> MachineOffer | None:
     """The offer under which such a machine is rented, if its type is known."""
     size = types.get(machine.type)
-    return Offer(size, machine.zone, machine.spot) if size else None
+    return MachineOffer(size, machine.zone, machine.spot) if size else None
 
 
-def all_offers(types: list[MachineType]) -> list[Offer]:
+def all_offers(types: list[MachineType]) -> list[MachineOffer]:
     """Every kind of machine that the cloud might have."""
-    return [Offer(t, zone, spot) for t in types for zone in t.zones for spot in (True, False)]
+    return [
+        MachineOffer(t, zone, spot) for t in types for zone in t.zones for spot in (True, False)
+    ]
 
 
-def per_task(offer: Offer, spec: JobSpec, count: int) -> float:
+def per_task(offer: MachineOffer, spec: JobSpec, count: int) -> float:
     """Price for each task placed, if `count` tasks wait."""
     room = fits_in([offer.type.cpus, offer.type.gpus, offer.type.ram], spec)
     return offer.price / max(1, min(room, count))
 
 
-def plan_rentals(
+def plan_scale_out(
     short: list[tuple[JobView, int]],
     coming: list[Bin],
     left: list[Bin],
-    offers: list[Offer],
-) -> list[tuple[Offer, int]]:
+    offers: list[MachineOffer],
+) -> list[tuple[MachineOffer, int]]:
     """New machines for the tasks that neither have room nor find it in `coming`.
 
     `coming` is room on machines that are on their way; `left` what the round left over
@@ -90,7 +92,7 @@
     just refused. Jobs come in their order of importance.
     """
     bins = list(coming)
-    rent: dict[tuple[str, str, bool], int] = {}
+    provision: dict[tuple[str, str, bool], int] = {}
     for job, count in short:
         spec = job.spec
         usable = [o for o in offers if suits(o, spec)]
@@ -119,10 +121,10 @@
             fresh.put(spec, fit)
             bins.append(fresh)
             zones[offer.zone] = zones.get(offer.zone, 0) + fit
-            rent[offer.key] = rent.get(offer.key, 0) + 1
+            provision[offer.key] = provision.get(offer.key, 0) + 1
             count -= fit
     by_key = {offer.key: offer for offer in offers}
-    return [(by_key[key], count) for key, count in rent.items()]
+    return [(by_key[key], count) for key, count in provision.items()]
 
 
 def zone_room(spec: JobSpec, zones: dict[str, int], zone: str) -> int:
@@ -132,7 +134,9 @@
     return (spec.tasks + 1) // 2 - zones.get(zone, 0)
 
 
-def roomiest_zone(spec: JobSpec, count: int, bins: list[Bin], offers: list[Offer]) -> str | None:
+def roomiest_zone(
+    spec: JobSpec, count: int, bins: list[Bin], offers: list[MachineOffer]
+) -> str | None:
     """The zone for all tasks: where most find room already, among those where all will: room that
     is too small in a zone that has nothing more to rent would be waited for in vain."""
     zones = list(dict.fromkeys([b.offer.zone for b in bins] + [o.zone for o in offers]))
--- a/peathall/autoscaling/startup_times.py
+++ b/peathall/autoscaling/startup_times.py
@@ -7,7 +7,7 @@
 from peathall.cluster.state import ClusterState
 
 
-class BootTimes:
+class StartupTimes:
     """Which of the machines that boot are late by themselves, and not with all others."""
 
     def __init__(self, cluster: ClusterState) -> None:
--- a/peathall/autoscaling/usage.py
+++ b/peathall/autoscaling/usage.py
@@ -34,7 +34,7 @@
     return phase.name.lower()
 
 
-class Account:
+class UsageAccounting:
     """Money spent since the last line, split by activity."""
 
     def __init__(self) -> None:
--- a/peathall/duties/delegate.py
+++ b/peathall/duties/delegate.py
@@ -7,7 +7,7 @@
 from collections.abc import Awaitable, Callable
 
 from peathall import constants
-from peathall.autoscaling.actions import CloudError, NoCapacityError, Rental
+from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
 from peathall.duties.model import ActAnswer, ActRequest, Deletion, Duty, HolderRecord, Outcome
 
 log = logging.getLogger("peathall.duties")
@@ -60,7 +60,7 @@
         self._deletion: Deletion | None = None  # without an answer yet
         self._turn = asyncio.Semaphore(constants.DUTY_ASKS_AT_ONCE)
 
-    async def rent(self, rental: Rental) -> list[str]:
+    async def provision(self, rental: ProvisionRequest) -> list[str]:
         """Machines rented by the holder of renting."""
         holder = self._holder(Duty.RENTING)
         request = ActRequest(
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -194,7 +194,7 @@
             return None  # the lease may come back to life
         try:
             if record.rental is not None:
-                return ActAnswer(Outcome.DONE, await self.cloud.rent(record.rental))
+                return ActAnswer(Outcome.DONE, await self.cloud.provision(record.rental))
             if record.deletion is not None:
                 await self.cloud.delete(record.deletion.machines)
             return ActAnswer(Outcome.DONE)
--- a/peathall/duties/model.py
+++ b/peathall/duties/model.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Struct
 
-from peathall.autoscaling.actions import Rental
+from peathall.autoscaling.actions import ProvisionRequest
 
 PREFIX = "duties/"
 MARK = "duties/on"
@@ -110,7 +110,7 @@
 
     token: int
     term: int
-    rental: Rental | None = None
+    rental: ProvisionRequest | None = None
     deletion: Deletion | None = None
 
 
@@ -121,7 +121,7 @@
     token: int  # of the holder that is meant
     term: int
     lead_version: int  # of the leader's record: its successor's has another
-    rental: Rental | None = None
+    rental: ProvisionRequest | None = None
     deletion: Deletion | None = None
     write: StoreWork | None = None
 
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -161,7 +161,7 @@
         self.delegated = Delegation(cloud, writes(Duty.RECLAIMING), writes(Duty.CLEANUP))
         return self.delegated
 
-    async def condemned(self) -> set[str]:
+    async def pending_deletions(self) -> set[str]:
         """Machines named in deletions that are not known to be finished."""
         items, _ = await self.store.scan(Duty.RETURNING.act_prefix)
         records = [msgspec.convert(item.value, ActRecord) for item in items]
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from peathall import constants
-from peathall.autoscaling.autoscaler import TYPES, Fleet
+from peathall.autoscaling.autoscaler import TYPES, Autoscaler
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
@@ -109,7 +109,7 @@
             self.delegation.cleanup if self.delegation is not None else None,
             self,
         )
-        self.fleet = Fleet(
+        self.autoscaler = Autoscaler(
             self.cluster,
             params,
             cloud,
@@ -127,7 +127,7 @@
             self.workers,
             wall,
             self.is_active,
-            [self.fleet, self],
+            [self.autoscaler, self],
             self.delegation.compaction if self.delegation is not None else None,
         )
         self.cluster.on_capacity_freed = self._request_round
@@ -239,7 +239,7 @@
             for coro in (
                 self.jobs.follow(),
                 self.placement.run(),
-                self.fleet.run(),
+                self.autoscaler.run(),
                 self._tick(),
             ):
                 tasks.append(asyncio.create_task(coro))
@@ -273,7 +273,7 @@
 
     def _act_directly(self) -> None:
         """Duties were taken out of use: this leader acts by itself."""
-        self.fleet.act_directly()
+        self.autoscaler.act_directly()
         if self.delegation is not None:
             self.delegation.act_directly()
 
@@ -286,7 +286,9 @@
                 rounds, _ = await self.store.scan(ROUND)
                 image_caches, _ = await self.store.scan(CACHE)
                 failing_jobs = await self.store.get(FAILING_JOBS_KEY)
-                condemned = await self.duties.condemned() if self.duties is not None else set()
+                pending_deletions = (
+                    await self.duties.pending_deletions() if self.duties is not None else set()
+                )
                 cells = await self._read_cells()
                 break
             except StoreError as exc:
@@ -294,7 +296,7 @@
                 await asyncio.sleep(constants.STORE_RETRY_S)
         if types is not None:
             self.writer.versions[TYPES] = types.version
-            self.fleet.load_types(types.value)
+            self.autoscaler.load_types(types.value)
         if self.cells is not None and cells is not None:
             self.cells.load(cells)
         self.jobs.load(live, done, revision)
@@ -302,7 +304,7 @@
             self.cells.load_handoffs(cells)
         self.image_caches.load(image_caches)
         self.failing_jobs.load(failing_jobs)
-        self.fleet.condemn(condemned, self.loop.time())
+        self.autoscaler.mark_deleting(pending_deletions, self.loop.time())
         self.placement.rounds.load(rounds, self.loop.time())
         self.workers.failover_at = self.loop.time()
 
--- a/tests/sim/duty_history.py
+++ b/tests/sim/duty_history.py
@@ -21,7 +21,7 @@
         self.acting: dict[tuple[str, int], str] = {}  # duty and token -> who acted under it
         self.rentals: dict[str, dict[str, Any]] = {}  # by name, as committed
         self.answers: dict[str, list[str]] = {}  # of the cloud, by name
-        self.condemned: set[str] = set()
+        self.pending_deletions: set[str] = set()
         self.rounds: set[str] = set()  # records of rounds that were written
         self.written: dict[str, int] = {}  # duty -> changes of the store alone
         self.open: dict[str, dict[str, Any]] = {}  # actions not known to be finished
@@ -59,7 +59,7 @@
             # nothing, and compaction writes it anew.
             self.rounds.add(key)
             for entry in data["a"]:
-                if entry[2] in self.condemned:
+                if entry[2] in self.pending_deletions:
                     self.fault(f"a start on the condemned {entry[2]}")
 
     def dropped(self, key: str, depends: set[str]) -> None:
@@ -107,12 +107,12 @@
         ):
             self.fault(f"rental {name} means two things")
         if record.get("deletion"):
-            self.condemned |= set(record["deletion"]["machines"])
+            self.pending_deletions |= set(record["deletion"]["machines"])
 
     def deleted(self, machines: list[str]) -> None:
         """The cloud carries a deletion out."""
-        if not set(machines) <= self.condemned:
-            self.fault(f"deletion of {set(machines) - self.condemned} without an intent")
+        if not set(machines) <= self.pending_deletions:
+            self.fault(f"deletion of {set(machines) - self.pending_deletions} without an intent")
 
     def rented(self, name: str, machines: list[str] | None) -> None:
         """The cloud carries a rental out, and answers so, if that is known by then."""
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from peathall.autoscaling.actions import CloudError, Rental
+from peathall.autoscaling.actions import CloudError, ProvisionRequest
 from peathall.config.modes import Mode
 from peathall.config.platform import parse
 from peathall.duties.model import ActAnswer, ActRequest, Deletion, Duty, DutyPhase, Outcome
@@ -127,7 +127,7 @@
         done = [submit(world, number) for number in range(1, 6)]
         await asyncio.gather(*done)
         await until(world, lambda: not world.workers)  # idle machines were returned
-        assert history.rentals and history.condemned
+        assert history.rentals and history.pending_deletions
         # Jobs are archived, and what nothing needs is dropped, by holders as well.
         await until(world, lambda: not any(k.startswith(("live/", "round/")) for k in state.data))
         assert sum(key.startswith("past/") for key in state.data) == 5
@@ -468,8 +468,8 @@
         assert leader is not None
         host, node = world.nodes[leader]
         kind = {"label": "small", "vcpus": 4, "cards": 0, "ram_gb": 32, "startup_s": 1e6}
-        names = [world.rent(kind, "a", False).name for _ in range(4000)]
-        actions = node.leader.fleet.actions
+        names = [world.provision(kind, "a", False).name for _ in range(4000)]
+        actions = node.leader.autoscaler.actions
 
         async def give_back() -> None:
             for first in range(0, 4000, 100):
@@ -482,7 +482,7 @@
 
         began = world.loop.now
         await world.loop.create_task(give_back(), context=world.context(host))
-        assert set(names) <= history.condemned
+        assert set(names) <= history.pending_deletions
         assert not set(names) & world.workers.keys()
         assert world.loop.now - began < 120.0
 
@@ -547,7 +547,7 @@
             lead = world.state.data["lead"]
             late = ActRequest(
                 Duty.RENTING, held.tenure.holder.token, lead[0]["term"], lead[1],
-                rental=Rental("r-late-1", "small", "a", False, 1),
+                rental=ProvisionRequest("r-late-1", "small", "a", False, 1),
             )  # fmt: skip
             host = world.nodes[index][0]
             work = executor.perform(late)
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -6,8 +6,8 @@
 from collections.abc import Awaitable, Callable
 
 from peathall import constants
-from peathall.autoscaling.actions import CloudError, Rental
-from peathall.autoscaling.autoscaler import Fleet
+from peathall.autoscaling.actions import CloudError, ProvisionRequest
+from peathall.autoscaling.autoscaler import Autoscaler
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.placement.views import JobView
 from peathall.protocol.cloud import ListedMachine
@@ -28,7 +28,7 @@
     async def delete(self, machines: list[str]) -> None:
         self.deleted.append(machines)
 
-    async def rent(self, rental: Rental) -> list[str]:
+    async def provision(self, rental: ProvisionRequest) -> list[str]:
         self.at_once += 1
         self.most_at_once = max(self.most_at_once, self.at_once)
         await asyncio.sleep(0)
@@ -39,7 +39,7 @@
         return [f"{rental.request}/{n}" for n in range(rental.count)]
 
 
-def play(test: Callable[[Fleet, Workers, Cloud], Awaitable[None]]) -> None:
+def play(test: Callable[[Autoscaler, Workers, Cloud], Awaitable[None]]) -> None:
     async def run() -> None:
         workers, cloud = new_workers(asyncio.get_running_loop().time()), Cloud()
         await test(new_fleet(workers, cloud), workers, cloud)
@@ -59,35 +59,35 @@
 
 
 def test_hundreds_of_machines_are_rented_at_once_in_full_batches() -> None:
-    async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
+    async def test(fleet: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         fleet.listed_once = True
         fleet.unplaced = [
             (JobView(spec(id="j-1", tasks=260, cpus=8.0, gpus=0.0, ram=1.0), 260), 260)
         ]
-        await fleet._rent()
+        await fleet._scale_out()
         assert sorted(count for _, count in cloud.rented) == [10, 50, 50, 50, 50, 50]
         assert len({request for request, _ in cloud.rented}) == 6
         assert cloud.most_at_once == 6
-        await fleet._rent()
+        await fleet._scale_out()
         assert len(cloud.rented) == 6  # those that are coming are enough
 
     play(test)
 
 
 def test_rentals_without_an_answer_are_repeated_before_any_other() -> None:
-    async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
+    async def test(fleet: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         fleet.listed_once = True
         fleet.unplaced = [(JobView(spec(id="j-1", tasks=70, cpus=8.0, gpus=0.0, ram=1.0), 70), 70)]
         cloud.doubt = True
         for _ in range(3):
             try:
-                await fleet._rent()
+                await fleet._scale_out()
             except CloudError:
                 pass
         names = {request for request, _, _ in fleet.unsure}
         assert len(names) == len(fleet.unsure) == 2
         cloud.doubt = False
-        await fleet._rent()
+        await fleet._scale_out()
         assert {request for request, _ in cloud.rented} == names
         assert not fleet.unsure
 
@@ -97,13 +97,13 @@
 def test_a_deletion_never_names_more_than_the_protocol_allows() -> None:
     """With 80 idle machines and 40 that failed, one request of 120 was refused for ever."""
 
-    async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
+    async def test(fleet: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         fleet.returns.idle_hold_s = 0.0
         now = asyncio.get_running_loop().time()
         for number in range(230):
             add(workers, number, now - 1.0)
         fleet._compare([listed(n, "failed") for n in range(300, 390)], now)
-        await fleet._return()
+        await fleet._scale_in()
         assert not fleet.failed
         assert not workers.cluster.machines
         assert max(map(len, cloud.deleted)) == constants.DELETE_MAX
@@ -115,7 +115,7 @@
 def test_after_a_take_over_a_listed_machine_is_not_judged_by_its_age() -> None:
     """It runs, idle, and reports within seconds; its age once made it 'never came up'."""
 
-    async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
+    async def test(fleet: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         now = workers.failover_at
         add(workers, 1, now + 1.0)
         fleet._compare([listed(1), listed(2), listed(3, "starting", 20.0)], now + 1.0)
@@ -152,7 +152,7 @@
     """Frozen for 28 s it wakes to a fleet that all looks silent. An outage of the state service
     keeps its lease, so it may act; as soon as a third had reported, the others were deleted."""
 
-    async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
+    async def test(fleet: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         now = workers.failover_at
         machines = [add(workers, number, now + 1.0) for number in range(10)]
         workers.tick(now + 1.0)
@@ -176,7 +176,7 @@
 def test_idle_machines_make_way_for_a_job_that_is_refused_others() -> None:
     """They were held for five minutes for teams with guarantees, in a cloud that was full."""
 
-    async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
+    async def test(fleet: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         now = workers.failover_at
         for number in range(2 * constants.MAKE_WAY):
             add(workers, number, now)
@@ -206,7 +206,7 @@
     """It was held for less than its second report takes: it was returned before any work could
     come, another was rented, and so on without end."""
 
-    async def test(fleet: Fleet, workers: Workers, cloud: Cloud) -> None:
+    async def test(fleet: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         fleet.returns.idle_hold_s = 1.0
         now = asyncio.get_running_loop().time()
         workers.handle_heartbeat(report(1, 1, 0, machine="m-1"), now)
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -5,7 +5,7 @@
 import random
 from collections import Counter
 
-from peathall.autoscaling.scale_out import Bin, Offer, plan_rentals
+from peathall.autoscaling.scale_out import Bin, MachineOffer, plan_scale_out
 from peathall.config.platform import Objective, Team
 from peathall.placement.ordering import latest_start
 from peathall.placement.planner import Round, make_plan
@@ -253,14 +253,14 @@
 
 
 KIND = MachineType("g", 8.0, 0.0, 16.0, 50.0, 1.0, 10.0, 3.0, 30.0, ["a", "b"])
-OFFERS = [Offer(KIND, zone, spot) for zone in "ab" for spot in (True, False)]
+OFFERS = [MachineOffer(KIND, zone, spot) for zone in "ab" for spot in (True, False)]
 
 
 def rented(
     job: JobView, count: int, coming: list[Bin], left: list[Bin]
 ) -> Counter[tuple[str, bool]]:
     found: Counter[tuple[str, bool]] = Counter()
-    for offer, number in plan_rentals([(job, count)], coming, left, OFFERS):
+    for offer, number in plan_scale_out([(job, count)], coming, left, OFFERS):
         found[(offer.zone, offer.spot)] += number
     return found
 
@@ -286,7 +286,7 @@
     plenty = [Bin(OFFERS[0]) for _ in range(9)]
     assert rented(bound, 3, [], plenty) == {("b", True): 3}
     anywhere = JobView(spec(gang=True, tasks=3, cpus=8.0, one_zone=True), 3)
-    only_b = plan_rentals([(anywhere, 3)], [], plenty[:2], OFFERS[2:])
+    only_b = plan_scale_out([(anywhere, 3)], [], plenty[:2], OFFERS[2:])
     assert [(offer.zone, count) for offer, count in only_b] == [("b", 3)]
 
 
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from peathall.autoscaling.autoscaler import Fleet
+from peathall.autoscaling.autoscaler import Autoscaler
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
 from peathall.http.client import NoAnswerError
@@ -45,7 +45,7 @@
     Line.answers, Line.asked = False, []
 
 
-def play(test: Callable[[Workers, Fleet, Machine], Coroutine[Any, Any, None]]) -> None:
+def play(test: Callable[[Workers, Autoscaler, Machine], Coroutine[Any, Any, None]]) -> None:
     """Ten machines; the first one has a replica and is silent from 6 s on."""
 
     async def run() -> None:
@@ -74,14 +74,14 @@
             await asyncio.sleep(0)
 
 
-def deleted(fleet: Fleet, now: float) -> list[str]:
+def deleted(fleet: Autoscaler, now: float) -> list[str]:
     return [machine.name for machine in fleet._to_delete(now)]
 
 
 def test_a_machine_that_answers_no_probe_is_deleted_soon() -> None:
     """A replica was missed for 14 s before its silent machine was deleted."""
 
-    async def test(workers: Workers, fleet: Fleet, silent: Machine) -> None:
+    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 6.0)
         assert Line.asked == []  # its report may still come
         await pass_time(workers, LAST + 8.0)
@@ -93,7 +93,7 @@
 
 
 def test_a_machine_that_answers_is_waited_for() -> None:
-    async def test(workers: Workers, fleet: Fleet, silent: Machine) -> None:
+    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         Line.answers = True
         await pass_time(workers, LAST + 12.0)
         assert Line.asked and deleted(fleet, LAST + 12.0) == []
@@ -105,7 +105,7 @@
 
 
 def test_a_report_ends_the_suspicion() -> None:
-    async def test(workers: Workers, fleet: Fleet, silent: Machine) -> None:
+    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 8.0)
         silent.last_heard = LAST + 8.5
         assert deleted(fleet, LAST + 9.0) == []
@@ -118,7 +118,7 @@
 def test_silence_of_many_is_not_their_fault() -> None:
     """Nor is one that reports to another controller: the trouble lies between it and us."""
 
-    async def test(workers: Workers, fleet: Fleet, silent: Machine) -> None:
+    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 9.0, others_heard=5)
         assert Line.asked == []
         silent.failed_probes = 2
@@ -133,7 +133,7 @@
 def test_only_machines_with_replicas_are_asked() -> None:
     """Other work loses more by a deletion too many than it wins by one sooner."""
 
-    async def test(workers: Workers, fleet: Fleet, silent: Machine) -> None:
+    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         workers.cluster.release(next(iter(silent.attempts.values())), LAST)
         await pass_time(workers, LAST + 9.0)
         assert Line.asked == []
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -19,7 +19,7 @@
 import orjson
 import pytest
 
-from peathall.autoscaling.actions import CloudError, NoCapacityError, Rental
+from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.cells import model as cells
 from peathall.cells.client import CellClient
@@ -784,15 +784,15 @@
 HIRE = {"hire": "r-17", "build": "g8", "ward": "a", "standby": True, "how_many": 12}
 
 
-def rental() -> Rental:
-    return Rental("r-17", "g8", "a", True, 12)
+def rental() -> ProvisionRequest:
+    return ProvisionRequest("r-17", "g8", "a", True, 12)
 
 
 def test_hire() -> None:
     http = RecordedHttp((200, {"halls": ["m-000231", "m-000232"]}))
 
     async def play() -> None:
-        assert await new_cloud_client(http).rent(rental()) == ["m-000231", "m-000232"]
+        assert await new_cloud_client(http).provision(rental()) == ["m-000231", "m-000232"]
 
     run(play)
     http.check(("POST", "/hosts", HIRE))
@@ -810,7 +810,7 @@
 def test_hire_that_is_refused(answer: tuple[int, Any], error: type[Exception]) -> None:
     async def play() -> None:
         with pytest.raises(error):
-            await new_cloud_client(RecordedHttp(answer)).rent(rental())
+            await new_cloud_client(RecordedHttp(answer)).provision(rental())
 
     run(play)
 
@@ -1198,7 +1198,7 @@
         writer: Any = MagicMock()
         writer.lead.version = 9
         cloud = part.delegate(4, writer).cloud
-        assert await cloud.rent(rental()) == ["m-1"]
+        assert await cloud.provision(rental()) == ["m-1"]
         await cloud.delete(["m-1", "m-2"])
 
     run(play)
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -18,7 +18,7 @@
 import pytest
 
 from peathall import constants
-from peathall.autoscaling.actions import Rental
+from peathall.autoscaling.actions import ProvisionRequest
 from peathall.cells.borrower import BorrowedJobs
 from peathall.cells.home import HomeHandoffs
 from peathall.cells.model import BorrowPhase, HandoffPhase, Offer, OfferAnswer, Ruling, Verdict
@@ -161,8 +161,8 @@
     )  # fmt: skip
 
 
-def rental() -> Rental:
-    return Rental(request="r-7-1", type="g", zone="a", spot=True, count=3)
+def rental() -> ProvisionRequest:
+    return ProvisionRequest(request="r-7-1", type="g", zone="a", spot=True, count=3)
 
 
 # --- set-up ------------------------------------------------------------------------------------
@@ -615,7 +615,7 @@
     def __init__(self) -> None:
         self.asked: list[Any] = []
 
-    async def rent(self, rental: Rental) -> list[str]:
+    async def provision(self, rental: ProvisionRequest) -> list[str]:
         self.asked.append(rental)
         return ["m-1"]
 
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -10,7 +10,7 @@
 import orjson
 
 from peathall import constants
-from peathall.autoscaling.autoscaler import Fleet
+from peathall.autoscaling.autoscaler import Autoscaler
 from peathall.cluster.job import Attempt, AttemptPhase, Job, JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
@@ -66,11 +66,13 @@
     return Workers(cluster, settings, now, lambda: True, IgnoredEvents(), 9)
 
 
-def new_fleet(workers: Workers, cloud: Any) -> Fleet:
+def new_fleet(workers: Workers, cloud: Any) -> Autoscaler:
     """Idle machines are held for ever, unless a test says otherwise; nothing is written."""
     params = Params(workers.settings, StateSettings(9, 9, 8, 9), CloudSettings(4, 4), [Team("t")])
     writer: Any = None
-    return Fleet(workers.cluster, params, cloud, writer, workers, lambda: True, lambda: None, 1e6)
+    return Autoscaler(
+        workers.cluster, params, cloud, writer, workers, lambda: True, lambda: None, 1e6
+    )
 
 
 def new_placement(workers: Workers, writer: Any) -> Placement:
