--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -23,7 +23,7 @@
 from peathall.duties.settings import DutySettings
 from peathall.http.client import NoAnswerError
 from peathall.http.message import Request, Response
-from peathall.http.request_queue import Rank, Turns
+from peathall.http.request_queue import RequestClass, RequestQueue
 from peathall.http.server import HttpServer
 from peathall.jobs.follower import FollowerService
 from peathall.jobs.service import RETRY_LATER, JobResponse
@@ -96,7 +96,7 @@
         )
         sockets = settings.params.machine_limits.fd_limit
         self.api = HttpServer(self._serve, int(sockets * constants.CALLER_SHARE))
-        self.turns = Turns()
+        self.request_queue = RequestQueue()
         self.back = HttpServer(self.peers.serve, int(sockets * constants.PEER_SHARE))
 
     def _make_duties(self) -> Duties:
@@ -234,7 +234,9 @@
         if not JOB_ID.match(job_id):
             return codec.cbor_response(404, {"error": "no such job"})
         op = "cancel" if withdraw else "query"
-        if not await self.turns.turn(Rank.CHANGE if withdraw else Rank.QUERY):
+        if not await self.request_queue.admit(
+            RequestClass.WRITE if withdraw else RequestClass.QUERY
+        ):
             return self._user(RETRY_LATER)
         return self._user(await self._ask({"op": op, "id": job_id}))
 
@@ -270,7 +272,7 @@
         return response
 
     async def _answer_heartbeat(self, request: Request) -> Response:
-        if not await self.turns.turn(Rank.CHECKIN):
+        if not await self.request_queue.admit(RequestClass.HEARTBEAT):
             return codec.cbor_response(503, {"error": "too late"})
         try:
             heartbeat = decode_heartbeat(codec.cbor_map(request.body))
@@ -290,7 +292,7 @@
         return codec.cbor_response(421, {"steward": steward})
 
     async def _submit(self, request: Request) -> Response:
-        if not await self.turns.turn(Rank.CHANGE):
+        if not await self.request_queue.admit(RequestClass.WRITE):
             return self._user(RETRY_LATER)
         raw: dict[str, Any] = {}
         try:
@@ -346,8 +348,8 @@
         return await leader.cancel(message["id"])
 
     async def _forwarded(self, message: dict[str, Any]) -> JobResponse:
-        rank = Rank.QUERY if message.get("op") == "query" else Rank.CHANGE
-        if self.leader is None or not await self.turns.turn(rank) or self.leader is None:
+        rank = RequestClass.QUERY if message.get("op") == "query" else RequestClass.WRITE
+        if self.leader is None or not await self.request_queue.admit(rank) or self.leader is None:
             return RETRY_LATER
         try:
             return await self._local(self.leader, message, None)
--- a/peathall/protocol/decode_cache.py
+++ b/peathall/protocol/decode_cache.py
@@ -9,7 +9,7 @@
 Value = TypeVar("Value")
 
 
-class RecentlyRead(Generic[Key, Value]):
+class DecodeCache(Generic[Key, Value]):
     """Results of a reading function in two generations.
 
     What was not asked for during a whole generation is forgotten, so the size follows what is in
--- a/peathall/protocol/heartbeats.py
+++ b/peathall/protocol/heartbeats.py
@@ -14,7 +14,7 @@
 from msgspec import Meta, Struct, field
 
 from peathall.protocol.codec import MalformedError
-from peathall.protocol.decode_cache import RecentlyRead
+from peathall.protocol.decode_cache import DecodeCache
 from peathall.protocol.fields import Text
 
 
@@ -134,7 +134,7 @@
 
 
 # Most of a report says what the one before said: that is not taken apart again.
-task_status_cache: RecentlyRead[WireTaskStatus, TaskStatus] = RecentlyRead(_decode_task_status)
+task_status_cache: DecodeCache[WireTaskStatus, TaskStatus] = DecodeCache(_decode_task_status)
 
 
 def decode_heartbeat(raw: dict[str, Any]) -> Heartbeat:
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -11,7 +11,7 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import StateSettings
-from peathall.protocol.decode_cache import RecentlyRead
+from peathall.protocol.decode_cache import DecodeCache
 from peathall.store.client import Put
 from peathall.store.writer import Writer
 from peathall.workers.image_cache import ImageCacheRecords
@@ -75,7 +75,7 @@
         read.append(number)
         return object()
 
-    memory = RecentlyRead(reading)
+    memory = DecodeCache(reading)
     tasks = 12 * MACHINES
     first = [memory(number) for number in range(tasks)]
     for _ in range(3):
