--- a/peathall/cli.py
+++ b/peathall/cli.py
@@ -13,7 +13,7 @@
 from peathall.operator_config.settings import Operator
 
 if TYPE_CHECKING:
-    from peathall.controller.controller import Node
+    from peathall.controller.controller import Controller
 
 LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
@@ -34,7 +34,7 @@
     return parser
 
 
-async def serve(node: Node) -> None:
+async def serve(node: Controller) -> None:
     """Run the controller; told to end, it first gives up in order what it holds."""
     import asyncio
     import signal
@@ -89,10 +89,10 @@
         return 0
     import asyncio
 
-    from peathall.controller.controller import Node
+    from peathall.controller.controller import Controller
 
     try:
-        asyncio.run(serve(Node(config, operator)))
+        asyncio.run(serve(Controller(config, operator)))
     except OSError as exc:
         print(f"peathall: {exc}", file=sys.stderr)
         return 1
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -49,7 +49,7 @@
 JOB_ID = re.compile(r"j-[0-9]{1,30}\Z")
 
 
-class Node:
+class Controller:
     """One controller: its listeners, and where each request goes."""
 
     def __init__(
@@ -120,17 +120,17 @@
         if leader is None or leader.cells is None:
             if path == CELL_STATUS:
                 return await self._relay_to_leader(path, raw)
-            return 421, {"leader": self._steward()}
+            return 421, {"leader": self._known_leader()}
         if path == CELL_STATUS:
             return 200, msgspec.to_builtins(leader.cells.status(self.settings.name))
         return await leader.cells.serve(path, raw)
 
     async def _relay_to_leader(self, path: str, raw: bytes) -> tuple[int, Any]:
-        steward = self._steward()
-        if steward is None:
+        leader_name = self._known_leader()
+        if leader_name is None:
             return 503, {"error": "nobody leads"}
         try:
-            status, answer = await self.peers.send(steward, path, raw, constants.FORWARD_S)
+            status, answer = await self.peers.send(leader_name, path, raw, constants.FORWARD_S)
             return status, orjson.loads(answer)
         except (NoAnswerError, orjson.JSONDecodeError) as exc:
             return 503, {"error": str(exc)}
@@ -259,7 +259,7 @@
         response.close = response.status == 503 and self._cut_off(self.loop.time())
         return response
 
-    def _steward(self) -> str | None:
+    def _known_leader(self) -> str | None:
         """Who leads, as far as that is known now: a name from before a cut helps nobody."""
         name = self.election.leader if self.store.is_fresh() else self.peers.leading()
         return None if name == self.settings.name else name
@@ -286,10 +286,10 @@
         self.peers.note_turned_away(
             heartbeat.machine, (heartbeat.epoch, heartbeat.sequence), self.loop.time()
         )
-        steward = self._steward()
-        if steward is None:
+        leader_name = self._known_leader()
+        if leader_name is None:
             return codec.cbor_response(421, {"error": "no leader"})
-        return codec.cbor_response(421, {"steward": steward})
+        return codec.cbor_response(421, {"steward": leader_name})
 
     async def _submit(self, request: Request) -> Response:
         if not await self.request_queue.admit(RequestClass.WRITE):
@@ -325,12 +325,14 @@
             if self.leader.is_active():
                 return await self._local(self.leader, message, spec)
         else:
-            steward = self._steward()
-            if steward is not None:
+            leader_name = self._known_leader()
+            if leader_name is not None:
                 try:
                     accepts = message["op"] == "accept"
                     limit = constants.FORWARD_ACCEPT_S if accepts else constants.FORWARD_S
-                    answer = await self.peers.forward(steward, message, limit, constants.ACCEPT_S)
+                    answer = await self.peers.forward(
+                        leader_name, message, limit, constants.ACCEPT_S
+                    )
                     if answer[0] != 503:
                         return answer
                 except NoAnswerError as exc:
--- a/tests/sim/test_http.py
+++ b/tests/sim/test_http.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from peathall import constants
-from peathall.controller.controller import Node
+from peathall.controller.controller import Controller
 from peathall.http.client import HttpClient
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
@@ -103,7 +103,7 @@
         settings = node_settings(0)
         limits = msgspec.structs.replace(settings.params.machine_limits, fd_limit=1200)
         params = msgspec.structs.replace(settings.params, machine_limits=limits)
-        node = Node(msgspec.structs.replace(settings, params=params), Operator(), lambda: 0.0)
+        node = Controller(msgspec.structs.replace(settings, params=params), Operator(), lambda: 0.0)
         node.assemble()
         leader: Any = Leading()
         node.leader = leader
@@ -132,7 +132,7 @@
 
 def test_paths_and_methods() -> None:
     async def play(loop: VirtualLoop) -> None:
-        node = Node(node_settings(0), Operator(), lambda: 0.0)
+        node = Controller(node_settings(0), Operator(), lambda: 0.0)
         node.assemble()
         wanted: list[tuple[str, str, bytes, int]] = [
             ("GET", "/healthz", b"", 200),
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -11,7 +11,7 @@
 import cbor2
 
 from peathall.config.platform import Settings
-from peathall.controller.controller import Node
+from peathall.controller.controller import Controller
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
@@ -263,7 +263,7 @@
         self.names = 0
         self.hires: dict[str, list[str]] = {}
         self.cloud_down_until = -1.0
-        self.nodes: dict[int, tuple[Host, Node]] = {}
+        self.nodes: dict[int, tuple[Host, Controller]] = {}
         self.jobs: dict[str, dict[str, Any]] = {}
         self.results: set[str] = set()
         self.here: dict[str, list[Task]] = {}  # task -> attempts on machines
@@ -537,7 +537,7 @@
         wall, rng = lambda: self.loop.now + 1e6 + off, random.Random(self.rng.random())
         other = self.make.get(index)  # another version of the program
         operator = self.operators.get(index, Operator())
-        node = other(wall, rng) if other else Node(self.settings[index], operator, wall, rng)
+        node = other(wall, rng) if other else Controller(self.settings[index], operator, wall, rng)
         self.nodes[index] = (host, node)
         self.context(host).run(self.loop.create_task, node.run())
 
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -28,7 +28,7 @@
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.config.platform import parse
-from peathall.controller.controller import Node, user_response
+from peathall.controller.controller import Controller, user_response
 from peathall.duties import model as duties
 from peathall.duties.service import Duties
 from peathall.duties.settings import DutySettings
@@ -143,7 +143,7 @@
 
 
 def new_node(leader: CannedLeader | None = None, operator: Operator | None = None) -> Any:
-    node: Any = Node(parse(SETTINGS), operator or Operator(), lambda: 5.0)
+    node: Any = Controller(parse(SETTINGS), operator or Operator(), lambda: 5.0)
     node.assemble()
     node.leader = leader
     return node
