--- a/bench/cost.py
+++ b/bench/cost.py
@@ -41,7 +41,7 @@
     """`aged`: all jobs have waited for long, so each that lacks room looks for tasks to stop."""
     loop = asyncio.get_running_loop()
     now = loop.time()
-    since = now - 2 * constants.AGED_S if aged else now
+    since = now - 2 * constants.STARVING_S if aged else now
     params = Params(
         WorkerSettings(3.0, 24.0, 40.0, 4.0, 40.0), StateSettings(1e6, 1e6, 16.0, 16),
         CloudSettings(4.0, 4.0), [Team("t")],
--- a/peathall/autoscaling/autoscaler.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -149,13 +149,13 @@
                 await asyncio.sleep(constants.TICK_S)
 
     def _account(self, now: float) -> None:
-        if now - self.accounted < constants.SAMPLE_S:
+        if now - self.accounted < constants.USAGE_SAMPLE_S:
             return
         self.account.add(
             list(self.cluster.machines.values()), self.cluster.types, now - self.accounted
         )
         self.accounted = now
-        if now - self.reported > constants.ACCOUNT_S:
+        if now - self.reported > constants.USAGE_LOG_S:
             self.reported = now
             phases = Counter(m.phase.name.lower() for m in self.cluster.machines.values())
             queued: Counter[str] = Counter()
@@ -290,21 +290,21 @@
         provision = plan_scale_out(self.unplaced, coming, left, offers)
         requests = []
         for offer, count in provision:
-            for part in range(0, count, constants.HIRE_MAX):
+            for part in range(0, count, constants.PROVISION_MAX):
                 self.number += 1
                 # The term makes the name unique for good, whoever leads later.
                 request = f"r-{self.cluster.term}-{self.number}"
                 requests.append(
-                    self._request(request, offer, min(count - part, constants.HIRE_MAX))
+                    self._request(request, offer, min(count - part, constants.PROVISION_MAX))
                 )
         await self._all_of(requests)
         # Machines take long to boot: planning for them with every round would gain nothing.
-        await asyncio.sleep(constants.RENT_GAP_S)
+        await asyncio.sleep(constants.SCALE_OUT_GAP_S)
 
     def _wakes(self, machine: Machine, now: float) -> bool:
         """Whether the machine, not in use yet, should soon be."""
         if machine.phase is MachinePhase.STARTING:
-            late = now - machine.created_at > constants.BOOT_LATE * self.startup_times.boot_s(
+            late = now - machine.created_at > constants.STARTUP_LATE * self.startup_times.boot_s(
                 machine
             )
             return not (late and self.startup_times.overtaken(machine))
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -77,7 +77,7 @@
             return self._why_delete_booting(machine, now)
         if phase is MachinePhase.DRAINING:
             return self._why_delete_draining(machine, now)
-        if phase in (MachinePhase.UP, MachinePhase.RECOVERED) and heard >= constants.HEARD_SHARE:
+        if phase in (MachinePhase.UP, MachinePhase.RECOVERED) and heard >= constants.MIN_LIVE_SHARE:
             why = self._why_delete_silent(machine, now, heard, elsewhere)
             if why:
                 return why
@@ -93,15 +93,18 @@
 
     def _why_delete_booting(self, machine: Machine, now: float) -> str:
         overtaken = self.startup_times.overtaken(machine)
-        patience = constants.BOOT_PATIENCE if overtaken else constants.BOOT_PATIENCE_ALL
-        limit = max(constants.BOOT_PATIENCE_MIN_S, patience * self.startup_times.boot_s(machine))
+        patience = constants.STARTUP_PATIENCE if overtaken else constants.STARTUP_PATIENCE_ALL
+        limit = max(constants.STARTUP_PATIENCE_MIN_S, patience * self.startup_times.boot_s(machine))
         return "it never came up" if now - machine.created_at > limit else ""
 
     @staticmethod
     def _why_delete_draining(machine: Machine, now: float) -> str:
         if not machine.attempts:
             return machine.drain_reason
-        if machine.reclaimed_at is not None and now > machine.reclaimed_at + constants.TAKEN_S:
+        if (
+            machine.reclaimed_at is not None
+            and now > machine.reclaimed_at + constants.RECLAIM_MARGIN_S
+        ):
             return "taken back by now"  # the answer frees its tasks before their lease
         return ""
 
@@ -111,7 +114,7 @@
         """Silent, deaf, or known from a single report."""
         lost_s = self.health.lost_s()
         quiet = self.health.silent_to_us_s(machine, now)
-        if quiet > lost_s and (heard >= constants.SURE_SHARE or not elsewhere(machine)):
+        if quiet > lost_s and (heard >= constants.CERTAIN_LIVE_SHARE or not elsewhere(machine)):
             return f"silent for {quiet:.0f} s"
         if machine.unacknowledged_since is not None and now - machine.unacknowledged_since > lost_s:
             return f"got no answer of ours for {now - machine.unacknowledged_since:.0f} s"
@@ -137,7 +140,7 @@
         if (
             not shortage.starved
             or not shortage.refused
-            or now - self.made_way_at < constants.MAKE_WAY_S
+            or now - self.made_way_at < constants.RETURNED_FOR_STARVING_JOB_GAP_S
         ):
             return []
         idle = [
@@ -145,14 +148,14 @@
             for machine in self.cluster.machines.values()
             if machine.phase is MachinePhase.UP
             and not machine.attempts
-            and now - machine.idle_since > constants.MAKE_WAY_IDLE_S
+            and now - machine.idle_since > constants.RETURNED_FOR_STARVING_JOB_IDLE_S
         ]
         found = [
             m for m, kind in idle if kind and not any(suits(kind, s) for s in shortage.starved)
         ]
         if found:
             self.made_way_at = now
-        return found[: constants.MAKE_WAY]
+        return found[: constants.RETURNED_FOR_STARVING_JOB]
 
     def _nothing_to_do(self) -> bool:
         return not any(
@@ -166,12 +169,12 @@
             return self.idle_hold_s
         size = self.cluster.types.get(machine.type)
         if size is None:
-            return constants.GUARANTEED_HOLD_S
+            return constants.QUOTA_IDLE_HOLD_S
         quiet = now - self.cluster.last_submission_at > size.boot_s
         if self.guaranteed and not (quiet and self._nothing_to_do()):
-            return constants.GUARANTEED_HOLD_S  # guaranteed teams need not wait: room is held ready
+            return constants.QUOTA_IDLE_HOLD_S  # guaranteed teams need not wait: room is held ready
         if quiet:
             return constants.QUIET_HOLD_S  # nothing arrives that it could be held for
         # A spot machine given back may come back only as an ordinary one.
         dearer = size.price / size.spot_price if machine.spot and size.spot_price else 1.0
-        return constants.IDLE_BOOTS * size.boot_s * dearer
+        return constants.IDLE_STARTUP_TIMES * size.boot_s * dearer
--- a/peathall/autoscaling/startup_times.py
+++ b/peathall/autoscaling/startup_times.py
@@ -17,14 +17,12 @@
     def boot_s(self, machine: Machine) -> float:
         """The nominal boot time of its type."""
         size = self.cluster.types.get(machine.type)
-        return size.boot_s if size is not None else constants.BOOT_PATIENCE_MIN_S
+        return size.boot_s if size is not None else constants.STARTUP_PATIENCE_MIN_S
 
     def overtaken(self, machine: Machine) -> bool:
         """Whether one like it, rented no sooner, has come up: then the delay is its own. If
         none has, the cloud is late with all, and others rented instead would be as late."""
-        return (
-            machine.created_at <= self.latest_up.get(machine.type, -1e9) + constants.BORN_TOGETHER_S
-        )
+        return machine.created_at <= self.latest_up.get(machine.type, -1e9) + constants.SAME_AGE_S
 
     def note(self) -> None:
         """When the latest-rented machine of each type was rented that has come up."""
--- a/peathall/cells/lease.py
+++ b/peathall/cells/lease.py
@@ -29,12 +29,12 @@
     @property
     def lapsed_at(self) -> float:
         """From then on the borrower starts nothing, and tells all of it to stop."""
-        return self.confirmed_at + self.lease_s * (1 + 2 * constants.DRIFT)
+        return self.confirmed_at + self.lease_s * (1 + 2 * constants.CLOCK_DRIFT)
 
     @property
     def gone_at(self) -> float:
         """From then on no task of it is on any machine of the borrower."""
-        return self.lapsed_at + self.lapse_s * (1 + 2 * constants.DRIFT)
+        return self.lapsed_at + self.lapse_s * (1 + 2 * constants.CLOCK_DRIFT)
 
     def cancelled_in_time(self, now: float, cancel_s: float) -> bool:
         """Whether all of it must be gone within `cancel_s`, though the borrower is silent."""
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -45,7 +45,7 @@
     def note_archived(self, job_id: str, status: JobStatus) -> None:
         """A job that is archived; the earliest are forgotten here, and read when asked for."""
         self.archived[job_id] = status
-        if len(self.archived) > constants.KNOWN_JOBS:
+        if len(self.archived) > constants.REMEMBERED_JOBS:
             del self.archived[next(iter(self.archived))]
 
     def machine(
--- a/peathall/config/platform.py
+++ b/peathall/config/platform.py
@@ -65,7 +65,7 @@
     def lease_expiry_s(self) -> float:
         """So long after the last answer that may have renewed its lease, a worker surely has no
         tasks any more, however its clock runs."""
-        return self.lease_s * (1 + 2 * constants.DRIFT) + constants.LAPSE_MARGIN_S
+        return self.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
 
 
 class NextLimits(Struct, frozen=True):
@@ -90,7 +90,7 @@
     def changes_at_once(self) -> int:
         """Puts and drops in one transaction: the service takes no more of them, and refuses for
         ever what is more than a burst, which is worth one second."""
-        return max(constants.CHANGES_AT_ONCE_MIN, min(self.txn_ops, int(self.write_rps)))
+        return max(constants.MIN_TRANSACTION_OPS, min(self.txn_ops, int(self.write_rps)))
 
     def least(self) -> StateSettings:
         """What holds now and will hold later: the moment of the change is not told."""
@@ -171,10 +171,10 @@
             f" (lease_s {workers.lease_s:g})"
         )
     state = settings.params.state.least()
-    if state.write_rps < constants.CHANGES_AT_ONCE_MIN:
+    if state.write_rps < constants.MIN_TRANSACTION_OPS:
         raise SettingsError(
             f"params.state.write_rps: {state.write_rps:g} must be at least"
-            f" {constants.CHANGES_AT_ONCE_MIN}, what the largest indivisible transaction changes"
+            f" {constants.MIN_TRANSACTION_OPS}, what the largest indivisible transaction changes"
         )
     params = msgspec.structs.replace(settings.params, state=state)
     return msgspec.structs.replace(settings, params=params)
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -95,9 +95,9 @@
             self.store, settings.params, self.operator.cells is not None
         )
         sockets = settings.params.machine_limits.fd_limit
-        self.api = HttpServer(self._serve, int(sockets * constants.CALLER_SHARE))
+        self.api = HttpServer(self._serve, int(sockets * constants.CALLER_SOCKET_SHARE))
         self.request_queue = RequestQueue()
-        self.back = HttpServer(self.peers.serve, int(sockets * constants.PEER_SHARE))
+        self.back = HttpServer(self.peers.serve, int(sockets * constants.PEER_SOCKET_SHARE))
 
     def _make_duties(self) -> Duties:
         # Imported here only: a controller without duties does not spend the memory.
@@ -213,7 +213,7 @@
     @staticmethod
     async def _forget_task_reports() -> None:
         while True:
-            await asyncio.sleep(constants.TASK_REPORTS_S)
+            await asyncio.sleep(constants.TASK_STATUS_CACHE_S)
             task_status_cache.begin_generation()
 
     # --- the way of a request ------------------------------------------------
--- a/peathall/http/request_queue.py
+++ b/peathall/http/request_queue.py
@@ -19,9 +19,9 @@
 
 
 LIMITS = {
-    RequestClass.HEARTBEAT: constants.CHECKIN_TURN_S,
-    RequestClass.WRITE: constants.CHANGE_TURN_S,
-    RequestClass.QUERY: constants.QUERY_TURN_S,
+    RequestClass.HEARTBEAT: constants.HEARTBEAT_QUEUE_S,
+    RequestClass.WRITE: constants.WRITE_QUEUE_S,
+    RequestClass.QUERY: constants.QUERY_QUEUE_S,
 }
 
 
--- a/peathall/http/server.py
+++ b/peathall/http/server.py
@@ -177,7 +177,7 @@
     @property
     def crowded(self) -> bool:
         """Callers who can as well connect anew for every request should do so."""
-        return len(self.connections) > constants.CROWDED * self.max_connections
+        return len(self.connections) > constants.CROWDED_SHARE * self.max_connections
 
     def admit(self, connection: ServerConnection) -> None:
         """A new caller; beyond the limit the idlest one has to go."""
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -35,7 +35,7 @@
     def _learn(self, job_id: str, end: JobResponse) -> JobResponse:
         self.final_responses[job_id] = end
         self.final_responses.move_to_end(job_id)
-        if len(self.final_responses) > constants.KNOWN_JOBS:
+        if len(self.final_responses) > constants.REMEMBERED_JOBS:
             self.final_responses.popitem(last=False)
         return end
 
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -92,8 +92,8 @@
             now,
             self.is_active,
             self,
-            max(1, int(params.machine_limits.fd_limit * constants.DIRECT_SHARE)),
-            constants.DEFERRABLE_ORDERS * min(1.0, params.machine_limits.cpu_share),
+            max(1, int(params.machine_limits.fd_limit * constants.DIRECT_COMMAND_SOCKET_SHARE)),
+            constants.DEFERRABLE_COMMANDS * min(1.0, params.machine_limits.cpu_share),
             reporting_elsewhere,
         )
         self.image_caches = ImageCacheRecords(self.cluster, self.writer)
@@ -329,7 +329,7 @@
         """A worker's report."""
         if self.phase is LeaderPhase.REBUILDING:
             try:
-                await asyncio.wait_for(self.ready.wait(), constants.CHECKIN_HOLD_S)
+                await asyncio.wait_for(self.ready.wait(), constants.HEARTBEAT_HOLD_S)
             except TimeoutError:
                 return 503, None
         if not self.is_active():
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -172,7 +172,10 @@
         now = self.loop.time()
         if self.leaderless_since is None:
             self.leaderless_since = now
-        return now < self.backoff_until and now - self.leaderless_since < constants.REST_VACANT_S
+        return (
+            now < self.backoff_until
+            and now - self.leaderless_since < constants.LEADERLESS_BACKOFF_S
+        )
 
     def _follow(self, lead: LeaderRecord | None) -> None:
         leader = lead.member if lead is not None else None
@@ -210,12 +213,12 @@
         before = msgspec.convert(term_item.value, TermRecord) if term_item else TermRecord()
         if before.cells and self.cells is Mode.OFF:
             log.error("cells are on, and off at this controller: it does not lead")
-            await asyncio.sleep(constants.GATE_CLOSED_S)
+            await asyncio.sleep(constants.CAMPAIGN_REFUSED_RETRY_S)
             return
         term = before.n + 1
         counted = TermRecord(term, before.cells or self.cells is Mode.ON)
         sent = self.loop.time()
-        lease_id = await self.store.lease(constants.LEAD_TTL_S)
+        lease_id = await self.store.lease(constants.LEADER_LEASE_TTL_S)
         record = msgspec.to_builtins(LeaderRecord(self.name, term, lease_id))
         try:
             version = await self.store.commit(
@@ -233,12 +236,12 @@
         except (ConflictError, LeaseExpiredError) as exc:
             await self._end(lease_id)
             if isinstance(exc, ConflictError) and self.gate.refused(exc.failed):
-                await asyncio.sleep(constants.GATE_CLOSED_S)
+                await asyncio.sleep(constants.CAMPAIGN_REFUSED_RETRY_S)
             return
         # A commit without an answer ends up in run(): if it did go through, `lead`
         # names us, that lease is ended, and the term is simply skipped.
         written = GuardKey(LEADER_KEY, record, version, lease_id)
-        lease = LeaderLease(constants.LEAD_TTL_S, sent)
+        lease = LeaderLease(constants.LEADER_LEASE_TTL_S, sent)
         self.leader_term = LeaderTerm(term, written, lease_id, lease, terms.delegates)
         await self._lead(self.leader_term)
 
@@ -268,7 +271,7 @@
                 if isinstance(result, Exception):
                     log.error("the term ended by an error", exc_info=result)
                     # Give the others a turn rather than fail at once again.
-                    self.backoff_until = self.loop.time() + constants.REST_S
+                    self.backoff_until = self.loop.time() + constants.RESIGN_BACKOFF_S
             log.info("no longer leading term %d", leader_term.term)
 
     async def _renew(self, leader_term: LeaderTerm) -> None:
@@ -277,12 +280,12 @@
         while True:
             sent = self.loop.time()
             try:
-                await self.store.renew(leader_term.lease_id, constants.RENEW_S)
+                await self.store.renew(leader_term.lease_id, constants.LEADER_RENEW_S)
                 leader_term.lease.record_renewal(sent)
                 if silent:
                     log.info("the lease of term %d is alive again", leader_term.term)
                     silent = False
-                pause = constants.RENEW_S
+                pause = constants.LEADER_RENEW_S
             except LeaseExpiredError:
                 log.info("the lease of term %d is gone", leader_term.term)
                 return
@@ -298,7 +301,7 @@
         if self.leader_term is None:
             return
         log.info("resigning: %s", why)
-        self.backoff_until = self.loop.time() + constants.REST_S
+        self.backoff_until = self.loop.time() + constants.RESIGN_BACKOFF_S
         lease_id = self.leader_term.lease_id
         self.leader_term.lease.until = 0.0
         self.step_down()
--- a/peathall/leadership/lease.py
+++ b/peathall/leadership/lease.py
@@ -19,7 +19,8 @@
     def record_renewal(self, sent: float) -> None:
         """A renewal that was sent at this time was answered."""
         self.until = max(
-            self.until, sent + self.ttl_s * (1 - 2 * constants.DRIFT) - constants.LEAD_MARGIN_S
+            self.until,
+            sent + self.ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_LEASE_MARGIN_S,
         )
 
     def is_valid(self, now: float) -> bool:
--- a/peathall/peers/service.py
+++ b/peathall/peers/service.py
@@ -102,7 +102,7 @@
         return {
             w: order
             for w, (order, at) in self.turned_away.items()
-            if now - at < constants.TURNED_AWAY_S
+            if now - at < constants.REDIRECTED_S
         }
 
     # --- asking --------------------------------------------------------------
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -65,7 +65,11 @@
 
 def gathering_s(spec: JobSpec) -> float:
     """By how much sooner a gang counts as aged: its machines fall free one by one."""
-    return min(constants.GATHER_MOST_S, constants.GATHER_S * (spec.tasks - 1)) if spec.gang else 0.0
+    return (
+        min(constants.GANG_STARVING_MOST_S, constants.GANG_STARVING_STEP_S * (spec.tasks - 1))
+        if spec.gang
+        else 0.0
+    )
 
 
 def order(job: JobView, totals: tuple[float, float]) -> tuple[float, ...]:
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -201,7 +201,7 @@
             return
         log.info("task %s/%d is stopped to make room", job_id, task)
         attempt, spec = job.attempts[task], job.spec
-        if not spec.gang and spec.checkpoint_s <= constants.SAVES_WORTH * spec.save_s:
+        if not spec.gang and spec.checkpoint_s <= constants.CHECKPOINT_WORTH * spec.save_s:
             # What it has done since it last saved by itself is little; whoever needs the
             # room would wait for the save.
             self.workers.stop(attempt, 0.0, now)
@@ -225,7 +225,7 @@
     def _stop_in_order(self, attempt: Attempt, now: float) -> None:
         """With time to save; a gang is stopped as a whole, or the save fails."""
         spec = attempt.job.spec
-        grace = spec.save_s + constants.SAVE_GRACE_S if spec.checkpoint_s else 0.0
+        grace = spec.save_s + constants.CHECKPOINT_GRACE_S if spec.checkpoint_s else 0.0
         for target in list(attempt.job.attempts.values()) if spec.gang else [attempt]:
             self.workers.stop(target, grace, now)
 
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -177,7 +177,7 @@
         avoid = self.workers.faults.machines_to_avoid(job)
         if job.health is JobHealth.FAILING:
             # A probe, in room that nobody else wants: whether it goes well is soon known.
-            last = self.wall + constants.PROBE_LATER_S
+            last = self.wall + constants.CANARY_DELAY_S
             return JobView(
                 job.spec,
                 todo,
@@ -225,7 +225,7 @@
     @staticmethod
     def is_starving(job: Job, now: float) -> bool:
         """Whether none of its tasks has had a place for so long that it goes first."""
-        return now - job.idle_since > constants.AGED_S - gathering_s(job.spec)
+        return now - job.idle_since > constants.STARVING_S - gathering_s(job.spec)
 
     def _fetch_s(self, spec: JobSpec) -> float:
         kinds = self.cluster.types.values()
@@ -272,11 +272,11 @@
             return None
         spec = attempt.job.spec
         ran = now - attempt.since if attempt.running else 0.0
-        if attempt.job.started_late and ran < constants.SETTLED_S:
+        if attempt.job.started_late and ran < constants.STABLE_START_S:
             return None  # it has waited so long that its start shall count
         lost = spec.save_s if spec.checkpoint_s else ran
-        if ran < constants.SETTLED_S:
-            lost += constants.SETTLED_S  # its start would not count any more
+        if ran < constants.STABLE_START_S:
+            lost += constants.STABLE_START_S  # its start would not count any more
         share = max(spec.cpus / machine.cpus, spec.gpus / max(machine.gpus, 1.0))
         return Victim(
             (spec.id, attempt.task),
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -155,7 +155,7 @@
     async def _budget(self, writes: int = 0, first: bool = False) -> None:
         """Reads leave some of the budget to what goes first, and are given up in time: more of
         them than it allows would else wait in an ever longer line."""
-        keep = 0.0 if writes or first else constants.READS_KEEP
+        keep = 0.0 if writes or first else constants.READ_RATE_RESERVE
         until = self.loop.time() + constants.STORE_TIMEOUT_S
         while (pause := self.requests.wait(1, self.loop.time(), keep)) > 0:
             if keep and self.loop.time() + pause > until:
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -137,7 +137,7 @@
     @property
     def too_many_changes(self) -> bool:
         """Whether it has been refused for its rate for so long that it can only be its size."""
-        divisible = len(self.batch) > 1 or len(self.ops) > constants.CHANGES_AT_ONCE_MIN
+        divisible = len(self.batch) > 1 or len(self.ops) > constants.MIN_TRANSACTION_OPS
         return divisible and self.rate_refusals >= constants.RATE_REFUSALS
 
 
@@ -241,7 +241,7 @@
     def _due(self) -> str | None:
         """What has waited for budget to spare for as long as it may."""
         name, since = next(iter(self.bounded.items()), ("", self.loop.time()))
-        return name if self.loop.time() - since > constants.SPARE_MOST_S else None
+        return name if self.loop.time() - since > constants.DEFERRED_MAX_WAIT_S else None
 
     def _take(self) -> list[Mutation]:
         """The oldest changes that fit into one transaction and touch no key twice."""
@@ -302,7 +302,7 @@
         """Only such writes wait as may, and there is no budget to spare."""
         self.wake.clear()
         try:
-            await asyncio.wait_for(self.wake.wait(), constants.SPARE_WAIT_S)
+            await asyncio.wait_for(self.wake.wait(), constants.DEFERRED_POLL_S)
         except TimeoutError:
             pass
 
--- a/peathall/workers/failing_jobs.py
+++ b/peathall/workers/failing_jobs.py
@@ -44,5 +44,7 @@
             for job in self.faults.watched.values()
             if job.health is JobHealth.FAILING and self.cluster.jobs.get(job.spec.id) is job
         ]
-        most = min(constants.SUSPECTS_KEPT, self.writer.value_limit // constants.SUSPECT_BYTES)
+        most = min(
+            constants.FAILING_JOBS_KEPT, self.writer.value_limit // constants.FAILING_JOB_BYTES
+        )
         return Mutation({}, [Put(FAILING_JOBS_KEY, {"jobs": found[-most:]})])
--- a/peathall/workers/faults.py
+++ b/peathall/workers/faults.py
@@ -35,8 +35,8 @@
             )  # tasks that were started together fail together
             job.consecutive_failures += 1
         limit = {
-            JobHealth.HEALTHY: constants.REVOKE_MACHINES,
-            JobHealth.UNKNOWN: constants.SUSPECT_MACHINES,
+            JobHealth.HEALTHY: constants.WIDESPREAD_FAILURE_MACHINES,
+            JobHealth.UNKNOWN: constants.FAILING_JOB_MACHINES,
         }
         if len(job.failed_on) >= limit.get(job.health, 1):
             if job.health is not JobHealth.FAILING:
@@ -54,7 +54,8 @@
         if self._proves_itself(machine, job.failed_on[machine.name]):
             return []
         unhealthy = (
-            job.health is JobHealth.HEALTHY or len(machine.failed_jobs) >= constants.SICK_JOBS
+            job.health is JobHealth.HEALTHY
+            or len(machine.failed_jobs) >= constants.UNHEALTHY_FAILED_JOBS
         )
         return [machine] if unhealthy else []
 
@@ -83,7 +84,7 @@
         failed = [(self.cluster.machines.get(name), at) for name, at in job.failed_on.items()]
         unhealthy = [m for m, at in failed if m is not None and not self._proves_itself(m, at)]
         # Many at once are no single sick machines: whatever it was, it is over.
-        return unhealthy if len(unhealthy) < constants.REVOKE_MACHINES else []
+        return unhealthy if len(unhealthy) < constants.WIDESPREAD_FAILURE_MACHINES else []
 
     def _proves_itself(self, machine: Machine, failed_at: float) -> bool:
         """Whether anything has gone well on the machine since then."""
@@ -96,7 +97,7 @@
             if self.cluster.jobs.get(job.spec.id) is not job:
                 del self.watched[job.spec.id]
                 continue
-            enough = max(constants.PROOF_S, 2 * job.longest_failed_run_s)
+            enough = max(constants.SUCCESS_RUNTIME_S, 2 * job.longest_failed_run_s)
             for attempt in job.attempts.values():
                 if attempt.running and now - attempt.since > enough:
                     unhealthy += self._proven(job)
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -49,17 +49,17 @@
 
     def missed_a_report(self, machine: Machine, now: float) -> bool:
         """Whether its next report should have come, however late reports come."""
-        limit = constants.PROBE_REPORTS * self.settings.report_s
+        limit = constants.PROBE_AFTER_HEARTBEATS * self.settings.report_s
         return self.silent_to_us_s(machine, now) > limit
 
     def most_heard(self, now: float) -> bool:
         """Whether most machines report as ever: who does not has a trouble of its own."""
-        limit = constants.PROBE_HEARD_REPORTS * self.settings.report_s
+        limit = constants.PROBE_RECENT_HEARTBEATS * self.settings.report_s
         up = self.expected()
         heard = [
             m for m in up if m.unacknowledged_since is None and self.silent_to_us_s(m, now) <= limit
         ]
-        return len(heard) >= constants.PROBE_HEARD_SHARE * len(up)
+        return len(heard) >= constants.PROBE_MIN_LIVE_SHARE * len(up)
 
     def heard_share(self, now: float) -> float:
         """Share of the machines that hear us and have lately reported."""
@@ -71,14 +71,14 @@
     def suspect_s(self) -> float:
         """So long after a machine's last report it takes no new work."""
         return min(
-            constants.SUSPECT_REPORTS * self.settings.report_s,
+            constants.SUSPECT_HEARTBEATS * self.settings.report_s,
             constants.SUSPECT_LEASE * self.settings.lease_s,
         )
 
     def lost_s(self) -> float:
         """So long after it, deleting the machine frees its tasks well before its lease does."""
         return min(
-            constants.LOST_REPORTS * self.settings.report_s,
+            constants.LOST_HEARTBEATS * self.settings.report_s,
             constants.LOST_LEASE * self.settings.lease_s,
         )
 
@@ -106,6 +106,6 @@
             for m in up
             if m.unacknowledged_since is not None or self.silent_to_us_s(m, now) > limit
         ]
-        return len(lost) > constants.OUT_OF_REACH_SHARE * len(up) and any(
+        return len(lost) > constants.UNREACHABLE_SHARE * len(up) and any(
             map(self.reporting_elsewhere(), lost)
         )
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -53,7 +53,7 @@
         is_leader: Callable[[], bool],
         listener: WorkerListener,
         connections: int,
-        deferrable_rate: float = constants.DEFERRABLE_ORDERS,
+        deferrable_rate: float = constants.DEFERRABLE_COMMANDS,
         elsewhere: ReportsElsewhere = dict,
     ) -> None:
         self.cluster = cluster
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("way_s", [0.0, 0.4, 1.9])
-@pytest.mark.parametrize("drift", [-constants.DRIFT, constants.DRIFT])
+@pytest.mark.parametrize("drift", [-constants.CLOCK_DRIFT, constants.CLOCK_DRIFT])
 def test_the_homes_count_of_a_lease_ends_last(way_s: float, drift: float) -> None:
     """Whatever the way took, and whichever clock runs faster."""
     lease_s, lapse_s = 600.0, 25.0
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -94,9 +94,9 @@
     floor.start(job, ["m-0", "m-1", "m-2"], 0.0)
     assert floor.emptied == []  # who knows?
     assert floor.faults.machines_to_avoid(job) == ["m-0"]
-    floor.empty(floor.faults.look(constants.PROOF_S - 0.1))
+    floor.empty(floor.faults.look(constants.SUCCESS_RUNTIME_S - 0.1))
     assert floor.emptied == []
-    floor.empty(floor.faults.look(constants.PROOF_S + 0.1))
+    floor.empty(floor.faults.look(constants.SUCCESS_RUNTIME_S + 0.1))
     assert (floor.emptied, job.health) == (["m-0"], JobHealth.HEALTHY)
     floor.sick.add("m-3")
     floor.start(job, ["m-3"], 20.0)
@@ -106,7 +106,7 @@
 def test_a_machine_that_fails_several_jobs_is_sick_before_any_has_run_elsewhere() -> None:
     floor = Floor(5)
     floor.sick.add("m-0")
-    for number in range(constants.SICK_JOBS):
+    for number in range(constants.UNHEALTHY_FAILED_JOBS):
         assert floor.emptied == []
         floor.start(floor.job(number, 1), ["m-0"], float(number))
     assert floor.emptied == ["m-0"]
@@ -120,7 +120,7 @@
     assert job.health is JobHealth.FAILING
     assert floor.faults.machines_to_avoid(job) == ["m-0", "m-1"]
     floor.start(job, ["m-2"], 2.0)
-    floor.empty(floor.faults.look(2.1 + constants.PROOF_S))
+    floor.empty(floor.faults.look(2.1 + constants.SUCCESS_RUNTIME_S))
     assert job.health is JobHealth.HEALTHY
     assert job.backoff_until == 0.0
     assert sorted(floor.emptied) == ["m-0", "m-1"]
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -178,26 +178,29 @@
 
     async def test(fleet: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         now = workers.failover_at
-        for number in range(2 * constants.MAKE_WAY):
+        for number in range(2 * constants.RETURNED_FOR_STARVING_JOB):
             add(workers, number, now)
             workers.cluster.machines[f"m-{number}"].idle_since = (
-                now - constants.MAKE_WAY_IDLE_S - number + 1
+                now - constants.RETURNED_FOR_STARVING_JOB_IDLE_S - number + 1
             )
         job = JobView(spec(id="j-1", zone="b"), 1, is_starving=True)
         fleet.unplaced = [(job, 1)]
         assert not fleet._to_delete(now)  # nothing was refused
         fleet.refused[("g", "b", False)] = now + 200.0
-        assert len(fleet._to_delete(now)) == constants.MAKE_WAY
+        assert len(fleet._to_delete(now)) == constants.RETURNED_FOR_STARVING_JOB
 
         def way_made(at: float) -> int:
             return len(fleet.returns._make_way(at, fleet._shortage(at)))
 
         assert not way_made(now + 1.0)  # first it must show whether that helps
         assert (
-            way_made(now + constants.MAKE_WAY_S + 0.1) == constants.MAKE_WAY
+            way_made(now + constants.RETURNED_FOR_STARVING_JOB_GAP_S + 0.1)
+            == constants.RETURNED_FOR_STARVING_JOB
         )  # sums are not exact
         fleet.unplaced = [(JobView(spec(id="j-2"), 1, is_starving=True), 1)]
-        assert not way_made(now + 3 * constants.MAKE_WAY_S)  # it could use them itself
+        assert not way_made(
+            now + 3 * constants.RETURNED_FOR_STARVING_JOB_GAP_S
+        )  # it could use them itself
 
     play(test)
 
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -31,7 +31,7 @@
         machine.confirmed = True
         machine.last_heard = now
         plan = Plan()
-        for job_id, waited in (("j-1", constants.AGED_S + 1.0), ("j-2", 10.0)):
+        for job_id, waited in (("j-1", constants.STARVING_S + 1.0), ("j-2", 10.0)):
             workers.cluster.jobs[job_id] = Job(spec(id=job_id, gang=True), now - waited)
             plan.assignments.append(Assignment(job_id, "m-1", 1))
         await placement._start(plan, now)
@@ -44,14 +44,14 @@
         for job in (old, young):
             job.attempts[0].enter(AttemptPhase.RUNNING, now + 20.0)
         assert victims(now + 50.0) == {"j-2"}
-        assert victims(now + 21.0 + constants.SETTLED_S) == {"j-1", "j-2"}
+        assert victims(now + 21.0 + constants.STABLE_START_S) == {"j-1", "j-2"}
 
         for job in (old, young):
             job.has_started = job is young
             workers.cluster.release(job.attempts[0], now + 60.0)
         assert placement.snapshot.is_starving(old, now + 61.0)  # it has not run: its wait goes on
         assert not placement.snapshot.is_starving(young, now + 61.0)
-        assert placement.snapshot.is_starving(young, now + 61.0 + constants.AGED_S)
+        assert placement.snapshot.is_starving(young, now + 61.0 + constants.STARVING_S)
 
     asyncio.run(run())
 
@@ -95,7 +95,11 @@
 
     assert is_starving(8, 60.0) < is_starving(1, 0.0)
     assert is_starving(1, 0.0) < is_starving(8, 80.0)
-    assert gathering_s(spec(gang=True, tasks=100)) == constants.GATHER_MOST_S < constants.AGED_S
+    assert (
+        gathering_s(spec(gang=True, tasks=100))
+        == constants.GANG_STARVING_MOST_S
+        < constants.STARVING_S
+    )
     assert gathering_s(spec(gang=False, tasks=100)) == 0.0
 
 
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -205,12 +205,12 @@
 def test_orders_that_may_wait_go_out_directly_only_while_few_do() -> None:
     def test(workers: Workers) -> None:
         machines = []
-        for number in range(3 * int(constants.DEFERRABLE_ORDERS)):
+        for number in range(3 * int(constants.DEFERRABLE_COMMANDS)):
             workers.handle_heartbeat(report(1, 1, 0, machine=f"m-{number}"), 1.0)
             machines.append(workers.cluster.machines[f"m-{number}"])
         for machine in machines:
             workers.delivery.push(machine, deferrable=True)
-        assert len(workers.delivery.under_way) == constants.DEFERRABLE_ORDERS
+        assert len(workers.delivery.under_way) == constants.DEFERRABLE_COMMANDS
         for machine in machines:
             workers.delivery.push(machine)
         assert len(workers.delivery.under_way) == len(machines)
