--- a/bench/cost.py
+++ b/bench/cost.py
@@ -62,7 +62,7 @@
     first = time.process_time() - began
     for start in plan.assignments:
         job, machine = cluster.jobs[start.job], cluster.machines[start.machine]
-        for task in job.todo.first(start.count):
+        for task in job.pending.first(start.count):
             attempt = cluster.allocate(job, task, cluster.new_attempt_number(), machine, "r")
             attempt.enter(AttemptPhase.RUNNING, now)
     began = time.process_time()
--- a/peathall/autoscaling/autoscaler.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -160,8 +160,8 @@
             phases = Counter(m.phase.name.lower() for m in self.cluster.machines.values())
             queued: Counter[str] = Counter()
             for job in self.cluster.jobs.values():
-                if job.todo and job.phase is JobPhase.ACTIVE:
-                    queued[job.spec.class_name] += len(job.todo)
+                if job.pending and job.phase is JobPhase.ACTIVE:
+                    queued[job.spec.class_name] += len(job.pending)
             up = [m for m in self.cluster.machines.values() if m.phase is MachinePhase.UP]
             log.info(
                 "%s; machines %s; cpus %.0f of %.0f, gpus %.0f of %.0f in use; queued %s",
@@ -213,7 +213,7 @@
                 self.failed.append(item.name)
         patience = constants.UNLISTED_LAGS * max(1.0, self.params.cloud.list_lag_s)
         for machine in list(self.cluster.machines.values()):
-            quiet = self.workers.health.silence(machine, now)
+            quiet = self.workers.health.seconds_since_heartbeat(machine, now)
             if now - machine.listed_at > patience and quiet > patience and not machine.attempts:
                 # Taken back by the cloud, or never rented. Its room was returned before,
                 # by the lapse of its lease; being unlisted alone proves nothing.
@@ -311,7 +311,10 @@
         if not machine.listed_by_cloud:
             return False  # perhaps a late report, or a record, of one long gone
         if machine.phase is MachinePhase.RECOVERED:
-            return self.workers.health.silence(machine, now) < self.workers.health.suspect_s()
+            return (
+                self.workers.health.seconds_since_heartbeat(machine, now)
+                < self.workers.health.suspect_s()
+            )
         return machine.phase is MachinePhase.UP and not machine.confirmed
 
     @staticmethod
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -49,7 +49,7 @@
         """Machines that are of no use any more, at most as many as one request may name."""
         self.health.note_tick(now)
         self.startup_times.note()
-        heard, elsewhere = self.health.heard_share(now), self.health.reporting_elsewhere()
+        heard, elsewhere = self.health.live_share(now), self.health.heartbeats_elsewhere()
         chosen = []
         for machine in self.cluster.machines.values():
             why = self._why_delete(machine, now, heard, elsewhere)
@@ -130,7 +130,7 @@
             and machine.replicas > 0
             and machine.phase is MachinePhase.UP
             and self.health.missed_a_report(machine, now)
-            and self.health.most_heard(now)
+            and self.health.most_are_live(now)
         )
 
     def _make_way(self, now: float, shortage: CapacityShortage) -> list[Machine]:
@@ -159,7 +159,7 @@
 
     def _nothing_to_do(self) -> bool:
         return not any(
-            job.phase is JobPhase.ACTIVE and (job.todo or not job.spec.daemon)
+            job.phase is JobPhase.ACTIVE and (job.pending or not job.spec.daemon)
             for job in self.cluster.jobs.values()
         )
 
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -32,7 +32,7 @@
 from peathall.config.platform import Params
 from peathall.jobs import records
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.service import can_never_run
+from peathall.jobs.service import rejection_reason
 from peathall.leadership.lease import LeaderLease
 from peathall.protocol.jobs import JobSpec, spec_from_record, spec_to_record
 from peathall.store.client import ConflictError, Delete, KeyValue, Put, StoreError
@@ -118,7 +118,7 @@
 
     def item(self) -> BorrowedItem:
         """As it is told to its home."""
-        stopping = self.job.held and self.phase is not BorrowPhase.RESERVED
+        stopping = self.job.on_hold and self.phase is not BorrowPhase.RESERVED
         return BorrowedItem(self.spec.id, self.epoch, self.phase, stopping, self.job.running)
 
 
@@ -167,7 +167,7 @@
     @staticmethod
     def _new_job(spec: JobSpec, now: float) -> Job:
         job = Job(spec, now)
-        job.borrowed = job.held = True
+        job.borrowed = job.on_hold = True
         return job
 
     def hold_unconfirmed(self, now: float) -> None:
@@ -227,7 +227,9 @@
             return "too many jobs are borrowed already"
         if not self.cluster.types:
             return "its machine types are not known here yet"
-        return can_never_run(spec, self.cluster.types, self.params) or self._takes_guarantee(spec)
+        return rejection_reason(spec, self.cluster.types, self.params) or self._takes_guarantee(
+            spec
+        )
 
     def _takes_guarantee(self, spec: JobSpec) -> str | None:
         """A team's own guarantee here stays free of what its other cells hand over."""
@@ -297,7 +299,7 @@
 
     def _let_run(self, held: BorrowedJob) -> None:
         if held.phase is BorrowPhase.ADOPTED and held.may_run(self.clock()):
-            held.job.held = False
+            held.job.on_hold = False
             self.room.request_round()
 
     def _revoke(self, held: BorrowedJob) -> None:
@@ -307,7 +309,7 @@
 
     def _halt(self, held: BorrowedJob) -> None:
         """Nothing of it starts, and all of it is told to stop, as for a cancelled job."""
-        held.job.held = True
+        held.job.on_hold = True
         self.tasks.stop_all(held.job)
 
     def _drop_if_gone(self, held: BorrowedJob) -> None:
@@ -340,7 +342,7 @@
     def stop_lapsed(self, now: float) -> None:
         """Before any answer to a machine: what our lease no longer covers is told to stop."""
         for held in self.borrowed.values():
-            if not held.job.held and not held.may_run(now):
+            if not held.job.on_hold and not held.may_run(now):
                 log.info("our lease on %s of %s has lapsed", held.spec.id, held.home)
                 self._halt(held)
                 self.on_news(held.home)
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -144,7 +144,7 @@
 
     def _add(self, handoff: Handoff) -> None:
         self.handoffs[handoff.job.spec.id] = handoff
-        handoff.job.held = True
+        handoff.job.on_hold = True
         self.cluster.allocate_remote(handoff.job.spec)
 
     async def _store(self, handoff: Handoff, record: HandoffRecord) -> bool:
@@ -217,7 +217,7 @@
         job = handoff.job
         handoff.enter(HandoffPhase.ENDED if job.is_final else HandoffPhase.RETURNED)
         del self.handoffs[job.spec.id]
-        job.held = False
+        job.on_hold = False
         job.running_remotely = 0
         self.cluster.release_remote(job.spec)
         self.jobs.review(job)
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -57,12 +57,12 @@
 class MachineCapacity(CapacityKeeper, Protocol):
     """Room on this cell's machines."""
 
-    deciding: asyncio.Lock  # held by a round while it decides and books
+    decision_lock: asyncio.Lock  # held by a round while it decides and books
 
     def free_machines(self) -> list[MachineView]:
         """Machines that take new work, with their free room."""
 
-    def booting_machines(self) -> list[tuple[float, MachineView]]:
+    def starting_machines(self) -> list[tuple[float, MachineView]]:
         """Machines on their way, and in how many seconds they should be up."""
 
 
@@ -318,7 +318,7 @@
 
         @cache
         def machines() -> tuple[list[MachineView], list[tuple[float, MachineView]]]:
-            return self.room.free_machines(), self.room.booting_machines()
+            return self.room.free_machines(), self.room.starting_machines()
 
         def expected(spec: JobSpec) -> float:
             return expected_wait_s(spec, *machines())
@@ -337,7 +337,7 @@
     def _may_offer(self, spec: JobSpec) -> bool:
         """Whether nothing of it has begun, and its team's limit has room for all of it."""
         job = self.cluster.jobs.get(spec.id)
-        if job is None or job.held or job.attempts or len(job.done):
+        if job is None or job.on_hold or job.attempts or len(job.done):
             return False
         teams = {team.name: team for team in self.params.teams}
         limits = TeamQuotas(teams, self.cluster.usage)
@@ -345,7 +345,7 @@
 
     async def _offer(self, job: Job, cell: CellClient) -> None:
         try:
-            async with self.room.deciding:
+            async with self.room.decision_lock:
                 # Between two rounds, whose own view of the limits would else be out of date.
                 if not self._may_offer(job.spec):
                     return
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -71,7 +71,7 @@
 
 
 def expected_wait_s(
-    spec: JobSpec, machines: Iterable[MachineView], booting: Iterable[tuple[float, MachineView]]
+    spec: JobSpec, machines: Iterable[MachineView], starting: Iterable[tuple[float, MachineView]]
 ) -> float:
     """Seconds until all of the job should find room at home at once, by what ends there and what
     is on its way; more than any wait if that can't be told."""
@@ -80,7 +80,7 @@
         if allowed(machine, spec):
             wait, count = free_in(machine, spec)
             coming.append((wait, machine.zone, count))
-    for wait, machine in booting:
+    for wait, machine in starting:
         if allowed(machine, spec):
             coming.append((wait, machine.zone, machine.fits(spec)))
     found: dict[str, int] = {}
@@ -109,7 +109,7 @@
             for view in unplaced
             if is_urgent(view.spec, self.objectives)
             and not (view.spec.daemon or view.borrowed or view.is_canary or view.running_zones)
-            and view.todo == view.spec.tasks <= constants.CELL_TASKS_MOST
+            and view.pending == view.spec.tasks <= constants.CELL_TASKS_MOST
         ]
         kept = {view.spec.id for view in found}
         self.waiting = {job: wait for job, wait in self.waiting.items() if job in kept}
--- a/peathall/cluster/job.py
+++ b/peathall/cluster/job.py
@@ -45,13 +45,13 @@
 
     __slots__ = (
         "epoch",
-        "grace",
+        "grace_s",
         "job",
         "last_status",
         "machine",
         "number",
         "phase",
-        "round",
+        "round_key",
         "since",
         "stopping",
         "task",
@@ -62,10 +62,10 @@
         self.task = task
         self.number = number
         self.machine = machine
-        self.round = round_key
+        self.round_key = round_key
         self.phase = AttemptPhase.PLANNED
         self.stopping = False
-        self.grace = 0.0
+        self.grace_s = 0.0
         self.epoch = 0  # the worker's session in which it was sent or seen; 0: not known
         self.since = 0.0
         self.last_status: object = None  # what its machine last reported of it
@@ -102,24 +102,24 @@
         "finalizing",
         "has_started",
         "health",
-        "held",
         "idle_since",
         "last_failed_attempt",
         "longest_failed_run_s",
+        "on_hold",
+        "pending",
         "phase",
         "record_key",
         "running_remotely",
         "spec",
         "start_deadline",
         "started_late",
-        "stored",
-        "todo",
-        "writing",
+        "stored_done",
+        "write_pending",
     )
 
     def __init__(self, spec: JobSpec, now: float = 0.0) -> None:
         self.spec = spec
-        self.held = False  # nothing of it may start here: another cell may run it, or its lease
+        self.on_hold = False  # nothing of it may start here: another cell may run it, or its lease
         # on this one has ended
         self.start_deadline = math.inf  # steady time from which no start order of it may leave
         self.borrowed = False  # another cell's users submitted it there
@@ -130,8 +130,8 @@
         self.phase = JobPhase.ACTIVE
         self.done = Ranges()  # reported done, perhaps not stored yet
         self.done_keys: set[str] = set()  # of the records of done tasks
-        self.stored = Ranges()  # those of them that are in the state service
-        self.todo = Ranges([(0, spec.tasks)])  # neither done nor attempted
+        self.stored_done = Ranges()  # those of them that are in the state service
+        self.pending = Ranges([(0, spec.tasks)])  # neither done nor attempted
         self.attempts: dict[int, Attempt] = {}
         self.health = JobHealth.UNKNOWN
         self.failed_on: dict[str, float] = {}  # machines on which it failed, and when, in order
@@ -141,7 +141,7 @@
         self.backoff_until = 0.0
         self.record_key = ""  # key of the record that holds it
         self.final_record_key = ""  # key of the record that holds its final state
-        self.writing = False  # done ranges are on their way to the store
+        self.write_pending = False  # done ranges are on their way to the store
         self.finalizing: asyncio.Future[str] | None = None  # its final state is on its way there
 
     def enter(self, phase: JobPhase) -> None:
@@ -180,15 +180,15 @@
         if task in self.done or not 0 <= task < self.spec.tasks:
             return False
         self.done.add(task)
-        self.todo.remove(task)
+        self.pending.remove(task)
         return True
 
     def mark_all_done(self) -> None:
         """Every task counts as done."""
         self.done.add(0, self.spec.tasks)
-        self.todo = Ranges()
+        self.pending = Ranges()
 
     def requeue(self, task: int) -> None:
         """An attempt of the task is gone: unless it is done, it waits again."""
         if task not in self.done:
-            self.todo.add(task)
+            self.pending.add(task)
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -80,7 +80,7 @@
         """Take the room of a new attempt, before anything is stored or sent."""
         attempt = Attempt(job, task, number, machine.name, round_key)
         job.attempts[task] = attempt
-        job.todo.remove(task)
+        job.pending.remove(task)
         machine.allocate(attempt)
         use = self.usage.setdefault(job.spec.team, [0.0, 0.0])
         use[0] += job.spec.cpus
@@ -114,10 +114,10 @@
         use = self.usage[job.spec.team]
         use[0] -= job.spec.cpus
         use[1] -= job.spec.gpus
-        del self.rounds[attempt.round][attempt]
-        if not self.rounds[attempt.round]:
-            del self.rounds[attempt.round]
-            self.on_round_finished(attempt.round)
+        del self.rounds[attempt.round_key][attempt]
+        if not self.rounds[attempt.round_key]:
+            del self.rounds[attempt.round_key]
+            self.on_round_finished(attempt.round_key)
         self.on_capacity_freed()
 
     def remove_machine(self, machine: Machine, now: float, why: str) -> list[Attempt]:
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -177,7 +177,7 @@
             self.election.is_leader,
             self.election.step_down,
             self.wall,
-            lambda: self.peers.reporting_elsewhere(self.loop.time()),
+            lambda: self.peers.heartbeats_elsewhere(self.loop.time()),
             self.duties,
             self.rng,
         )
@@ -195,7 +195,7 @@
             if leader is None or not leader.is_active():
                 continue
             young = now - leader.workers.failover_at < leader.workers.health.unreached_s()
-            if not young and leader.workers.health.out_of_reach(now):
+            if not young and leader.workers.health.is_partitioned(now):
                 await self.election.resign("workers reach others, but not us")
 
     async def _learn_types(self) -> None:
@@ -283,7 +283,7 @@
             if status == 200:
                 return codec.cbor_response(200, answer)
             return codec.cbor_response(503, {"error": "not entitled now"})
-        self.peers.note_turned_away(
+        self.peers.note_redirected(
             heartbeat.machine, (heartbeat.epoch, heartbeat.sequence), self.loop.time()
         )
         leader_name = self._known_leader()
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -128,7 +128,7 @@
         before = msgspec.convert(item.value, TokenRecord) if item is not None else TokenRecord()
         vacant_s = self.loop.time() - self.board.vacant_since.get(self.duty, self.loop.time())
         sent = self.loop.time()
-        lease_id = await self.store.lease(self.lease_s)
+        lease_id = await self.store.grant_lease(self.lease_s)
         token = before.token + 1
         holder = HolderRecord(self.name, token, lease_id, self.wall(), vacant_s)
         latest = [*before.latest, Handover(self.name, token, round(vacant_s, 3))]
@@ -177,7 +177,7 @@
             pause = self.lease_s / constants.DUTY_RENEWALS
             sent = self.loop.time()
             try:
-                await self.store.renew(tenure.holder.lease, pause)
+                await self.store.renew_lease(tenure.holder.lease, pause)
                 tenure.lease.record_renewal(sent)
                 self._enter(DutyPhase.HOLDING)
             except LeaseExpiredError:
@@ -209,6 +209,6 @@
 
     async def _end(self, lease_id: int) -> None:
         try:
-            await self.store.end_lease(lease_id)
+            await self.store.revoke_lease(lease_id)
         except StoreError as exc:
             log.debug("ending a lease on %s: %s", self.duty.value, exc)
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -153,7 +153,7 @@
     def delegate(self, term: int, writer: Writer) -> Delegation:
         """Ways from the leader of this term to the holders."""
         holder = self.board.holders.get
-        cloud = DelegatedCloud(term, lambda: writer.lead.version, holder, self._ask)
+        cloud = DelegatedCloud(term, lambda: writer.guard.version, holder, self._ask)
 
         def writes(duty: Duty) -> DelegatedWrites:
             return DelegatedWrites(duty, term, writer, self.leads, holder, self._ask, cloud.waiting)
--- a/peathall/duties/writes.py
+++ b/peathall/duties/writes.py
@@ -109,7 +109,7 @@
                     drops.append(op.key)
             conditions.update(change.conditions)
         work = StoreWork(f"w-{self.term}-{self._number}", conditions, puts, drops)
-        return ActRequest(self.duty, 0, self.term, self.writer.lead.version, write=work)
+        return ActRequest(self.duty, 0, self.term, self.writer.guard.version, write=work)
 
     async def _hand_over(self, batch: list[Mutation]) -> None:
         """Until its fate is known. A try without an answer may have been carried out."""
@@ -117,12 +117,12 @@
         while True:
             if self.direct:
                 if not (outcome_unknown and await self._was_applied(batch, request)):
-                    self.writer.take_over(batch)
+                    self.writer.enqueue(batch)
                 return
             answer = await self._ask(request)
             if answer.outcome is Outcome.DONE:
                 self.waiting.clear(self.duty)
-                self.writer.applied(batch, answer.revision)
+                self.writer.mark_applied(batch, answer.revision)
                 return
             outcome_unknown = outcome_unknown or answer.outcome is Outcome.PENDING
             if answer.outcome in (Outcome.CONFLICT, Outcome.INVALID):
@@ -151,21 +151,21 @@
         assert request.write is not None
         ops = [op for change in batch for op in change.ops]
         conditions = request.write.conditions | {LEADER_KEY: request.lead_version}
-        revision = await self.writer.until_known(ops, conditions)
+        revision = await self.writer.resolve_outcome(ops, conditions)
         if revision:
-            self.writer.applied(batch, revision)
+            self.writer.mark_applied(batch, revision)
         return revision > 0
 
     async def _give_up_invalid(self, batch: list[Mutation], answer: ActAnswer) -> None:
         log.error("the state service does not take a commit of %s: %s", self.duty.value, answer.why)
         if len(batch) == 1:
-            self.writer.settle(batch, InvalidTransactionError(answer.why))
+            self.writer.fail(batch, InvalidTransactionError(answer.why))
             return
         for change in batch:
             await self._hand_over([change])
 
     def _split(self, batch: list[Mutation], failed: list[str]) -> None:
         """A record is not what we thought: fail its change, write the others."""
-        bad, rest = self.writer.parted(batch, failed)
-        self.writer.settle(bad, ConflictError(failed))
+        bad, rest = self.writer.partition(batch, failed)
+        self.writer.fail(bad, ConflictError(failed))
         self._again[:0] = rest
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -135,8 +135,8 @@
         """Whether it may be archived: while a second record holds it, or is about to, a new leader
         that reads that one would bring it back to life."""
         alone = job.spec.id not in self.duplicates and job.record_key not in self.dividing
-        here = not (job.held or job.borrowed)
-        return job.is_final and not job.attempts and not job.writing and alone and here
+        here = not (job.on_hold or job.borrowed)
+        return job.is_final and not job.attempts and not job.write_pending and alone and here
 
     def _archive_change(self, record_key: str) -> Mutation | None:
         """Some of a record's jobs that are over, and the record without them."""
@@ -168,7 +168,7 @@
         ops += [Delete(key) for key in keys if key in self.writer.versions and key != record_key]
         self.archiving.add(record_key)
         for job in over:
-            job.writing = True
+            job.write_pending = True
         change = Mutation(duplicates, ops)
         change.done.add_done_callback(lambda done: self._archived(record_key, over, done))
         return change
@@ -178,7 +178,7 @@
         if record_key in self.duplicates.values():
             self.cleanup.defer(f"duplicate {record_key}", lambda: self._trim(record_key))
         for job in over:
-            job.writing = False
+            job.write_pending = False
         if done.cancelled() or done.exception() is not None:
             for job in over:
                 self.background.spawn(self._reread_records(job.spec.id))
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -13,7 +13,7 @@
 from peathall.config.platform import Params
 from peathall.jobs import records
 from peathall.jobs.live_index import LiveJobIndex
-from peathall.jobs.service import RETRY_LATER, JobResponse, can_never_run
+from peathall.jobs.service import RETRY_LATER, JobResponse, rejection_reason
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, JobStatus, encode_job_status, spec_to_record
 from peathall.store.client import ConflictError, Put, StoreClient
@@ -69,7 +69,7 @@
         if spec.id not in self.live.held:
             if not self.types:
                 return await self._known(spec.id) or RETRY_LATER
-            why = can_never_run(spec, self.types, self.params)
+            why = rejection_reason(spec, self.types, self.params)
             if why is not None:
                 return await self._known(spec.id) or (422, {"error": why})
             try:
--- a/peathall/jobs/service.py
+++ b/peathall/jobs/service.py
@@ -41,7 +41,7 @@
 RETRY_LATER: JobResponse = (503, None)
 
 
-def can_never_run(spec: JobSpec, types: dict[str, MachineType], params: Params) -> str | None:
+def rejection_reason(spec: JobSpec, types: dict[str, MachineType], params: Params) -> str | None:
     """Why a job can never run, or None. `types` must be known."""
     team = next((t for t in params.teams if t.name == spec.team), None)
     if team is None:
@@ -144,8 +144,8 @@
         job.done_keys.add(item.key)
         for low, high in records.read_done(item.value).done:
             job.done.add(low, high)
-            job.stored.add(low, high)
-            job.todo.remove(low, high)
+            job.stored_done.add(low, high)
+            job.pending.remove(low, high)
 
     def register(self, record: dict[str, Any], record_key: str) -> Job:
         """A job that stands in the store, whoever wrote it there."""
@@ -189,7 +189,7 @@
             return known
         if not self.cluster.types:
             return RETRY_LATER
-        why = can_never_run(spec, self.cluster.types, self.params)
+        why = rejection_reason(spec, self.cluster.types, self.params)
         if why is not None:
             # Whatever a repetition carries, a job that was accepted stays so: also one that
             # only the store knows of.
@@ -258,7 +258,7 @@
 
     def status(self, job: Job) -> dict[str, Any]:
         """The job's state as told to its user."""
-        done = job.spec.tasks if job.phase is JobPhase.DONE else len(job.stored)
+        done = job.spec.tasks if job.phase is JobPhase.DONE else len(job.stored_done)
         running = job.running if job.phase is JobPhase.ACTIVE else 0
         return encode_job_status(job.spec.id, job.status, done, running)
 
@@ -306,13 +306,13 @@
 
     def note_done(self, job: Job) -> None:
         """Some tasks were reported done: store that, then tell."""
-        if job.writing or job.phase is not JobPhase.ACTIVE:
+        if job.write_pending or job.phase is not JobPhase.ACTIVE:
             return
         if len(job.done) >= job.spec.tasks:
             if job.borrowed:
                 self.remote.finish_borrowed(job)
                 return
-            job.writing = True
+            job.write_pending = True
             self.background.spawn(self._finish(job))
         else:
             self.writer.defer(
@@ -327,12 +327,12 @@
                 else:
                     await self._settle(job, JobStatus.DONE)
         finally:
-            job.writing = False
+            job.write_pending = False
         self.archive.archive_if_over(job)
 
     def _done_change(self, job: Job) -> Mutation | None:
         """The first block with news; the others follow, one by one."""
-        news = job.done.first_outside(job.stored)
+        news = job.done.first_outside(job.stored_done)
         gone = self.cluster.jobs.get(job.spec.id) is not job  # borrowed, and over
         if news is None or gone or job.phase is not JobPhase.ACTIVE:
             return None
@@ -344,8 +344,8 @@
         def stored() -> None:
             job.done_keys.add(key)
             for low, high in record.done:
-                job.stored.add(low, high)
-            if job.done.first_outside(job.stored) is not None:
+                job.stored_done.add(low, high)
+            if job.done.first_outside(job.stored_done) is not None:
                 self.note_done(job)
 
         return change.then(stored)
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -63,7 +63,7 @@
         is_active: Callable[[], bool],
         step_down: Callable[[], None],
         wall: Callable[[], float],
-        reporting_elsewhere: Callable[[], dict[str, tuple[int, int]]],
+        heartbeats_elsewhere: Callable[[], dict[str, tuple[int, int]]],
         duties: Duties | None = None,
         rng: random.Random | None = None,
     ) -> None:
@@ -94,7 +94,7 @@
             self,
             max(1, int(params.machine_limits.fd_limit * constants.DIRECT_COMMAND_SOCKET_SHARE)),
             constants.DEFERRABLE_COMMANDS * min(1.0, params.machine_limits.cpu_share),
-            reporting_elsewhere,
+            heartbeats_elsewhere,
         )
         self.image_caches = ImageCacheRecords(self.cluster, self.writer)
         self.failing_jobs = FailingJobsRecord(self.cluster, self.workers.faults, self.writer)
@@ -191,7 +191,7 @@
 
     def _cancelled(self, job: Job) -> None:
         now = self.loop.time()
-        self.workers.fence()
+        self.workers.raise_fencing_token()
         for attempt in list(job.attempts.values()):
             self.workers.stop(attempt, 0.0, now)
 
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -202,7 +202,7 @@
 
     async def _end(self, lease_id: int) -> None:
         try:
-            await self.store.end_lease(lease_id)
+            await self.store.revoke_lease(lease_id)
         except StoreError as exc:
             log.debug("ending a lease: %s", exc)
 
@@ -218,7 +218,7 @@
         term = before.n + 1
         counted = TermRecord(term, before.cells or self.cells is Mode.ON)
         sent = self.loop.time()
-        lease_id = await self.store.lease(constants.LEADER_LEASE_TTL_S)
+        lease_id = await self.store.grant_lease(constants.LEADER_LEASE_TTL_S)
         record = msgspec.to_builtins(LeaderRecord(self.name, term, lease_id))
         try:
             version = await self.store.commit(
@@ -280,7 +280,7 @@
         while True:
             sent = self.loop.time()
             try:
-                await self.store.renew(leader_term.lease_id, constants.LEADER_RENEW_S)
+                await self.store.renew_lease(leader_term.lease_id, constants.LEADER_RENEW_S)
                 leader_term.lease.record_renewal(sent)
                 if silent:
                     log.info("the lease of term %d is alive again", leader_term.term)
--- a/peathall/peers/service.py
+++ b/peathall/peers/service.py
@@ -18,7 +18,7 @@
 
 # The query of a ping that asks for workers turned away, and the field that names them. Sent between
 # controllers of different versions: the spelling stays.
-TURNED_AWAY = "knocks"
+REDIRECTED = "knocks"
 
 # Path and body of a request -> status and value of the answer; None if it is not ours to answer.
 FeatureHandler = Callable[[str, bytes], Awaitable[tuple[int, Any] | None]]
@@ -28,13 +28,13 @@
 class PeerView:
     """What the last ping to a peer told."""
 
-    __slots__ = ("client", "heard", "leads", "peer", "turned_away")
+    __slots__ = ("client", "heard", "leads", "peer", "redirected")
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
         self.client = HttpClient(peer.addr, "application/json", keep=8)
         self.heard = -1e9
-        self.turned_away: dict[str, tuple[int, int]] = {}
+        self.redirected: dict[str, tuple[int, int]] = {}
         self.leads = False
 
 
@@ -54,15 +54,15 @@
         self.handle = handle
         self.loop = asyncio.get_running_loop()
         # Worker -> session and sequence number of its latest report here, and when it came.
-        self.turned_away: dict[str, tuple[tuple[int, int], float]] = {}
+        self.redirected: dict[str, tuple[tuple[int, int], float]] = {}
 
     # --- serving -------------------------------------------------------------
     async def serve(self, request: Request) -> Response:
         """A request of another controller."""
         if request.method == "GET" and request.path == "/ping":
             told: dict[str, Any] = {"leads": self.leads()}
-            if request.query == TURNED_AWAY:
-                told[TURNED_AWAY] = self.turned_away_lately(self.loop.time())
+            if request.query == REDIRECTED:
+                told[REDIRECTED] = self.recently_redirected(self.loop.time())
             return json_response(200, told)
         if request.method == "POST" and request.path == "/forward":
             try:
@@ -86,22 +86,22 @@
             raise NoAnswerError(f"{name} is no controller known here", sent=False)
         return await view.client.request("POST", path, raw, timeout)
 
-    def note_turned_away(self, worker: str, order: tuple[int, int], now: float) -> None:
+    def note_redirected(self, worker: str, order: tuple[int, int], now: float) -> None:
         """We turn a worker's report away. A late copy of an older one is no news."""
-        known = self.turned_away.get(worker)
+        known = self.redirected.get(worker)
         if known is None or order > known[0]:
-            self.turned_away[worker] = (order, now)
+            self.redirected[worker] = (order, now)
 
-    def turned_away_lately(self, now: float) -> dict[str, tuple[int, int]]:
+    def recently_redirected(self, now: float) -> dict[str, tuple[int, int]]:
         """Workers that we have turned away lately, with their latest report's number."""
-        for worker, (_, at) in list(self.turned_away.items()):
+        for worker, (_, at) in list(self.redirected.items()):
             if now - at > constants.REPORT_ORDER_MEMORY_S:
-                del self.turned_away[worker]
+                del self.redirected[worker]
         # All of them, however many: a live machine left out here would look silent to the
         # leader and be deleted.
         return {
             w: order
-            for w, (order, at) in self.turned_away.items()
+            for w, (order, at) in self.redirected.items()
             if now - at < constants.REDIRECTED_S
         }
 
@@ -140,15 +140,15 @@
     async def _ping(self, view: PeerView) -> None:
         try:
             # Only a leader needs to know which workers report elsewhere.
-            path = f"/ping?{TURNED_AWAY}" if self.leads() else "/ping"
+            path = f"/ping?{REDIRECTED}" if self.leads() else "/ping"
             _, raw = await view.client.request("GET", path, b"", constants.PING_S)
             told = orjson.loads(raw)
-            turned_away = told.get(TURNED_AWAY, {})
-            view.turned_away = {str(k): (int(a), int(b)) for k, (a, b) in turned_away.items()}
+            redirected = told.get(REDIRECTED, {})
+            view.redirected = {str(k): (int(a), int(b)) for k, (a, b) in redirected.items()}
             view.leads = bool(told["leads"])
             view.heard = self.loop.time()
         except (NoAnswerError, ValueError, KeyError, TypeError, AttributeError):
-            view.turned_away, view.leads = {}, False
+            view.redirected, view.leads = {}, False
 
     def heard_any(self, now: float, within: float) -> bool:
         """Whether some peer answered lately."""
@@ -158,12 +158,12 @@
         """The peer that has lately said that it leads."""
         return next((v.peer.name for v in self.views.values() if v.leads), None)
 
-    def reporting_elsewhere(self, now: float) -> dict[str, tuple[int, int]]:
+    def heartbeats_elsewhere(self, now: float) -> dict[str, tuple[int, int]]:
         """Workers that are alive, since they have reached another controller."""
         found: dict[str, tuple[int, int]] = {}
         for view in self.views.values():
             if now - view.heard < 3 * constants.PING_S:
-                for name, order in view.turned_away.items():
+                for name, order in view.redirected.items():
                     found[name] = max(order, found.get(name, (0, -1)))
         return found
 
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -60,7 +60,7 @@
     """Seconds for which the job's waiting tasks would fill the whole fleet."""
     spec = job.spec
     shares = [n / t for n, t in zip((spec.cpus, spec.gpus), totals, strict=True) if t > 0]
-    return job.todo * max(shares, default=0.0) * spec.estimate_s
+    return job.pending * max(shares, default=0.0) * spec.estimate_s
 
 
 def gathering_s(spec: JobSpec) -> float:
--- a/peathall/placement/planner.py
+++ b/peathall/placement/planner.py
@@ -39,7 +39,7 @@
 
     def run(self, jobs: list[JobView]) -> Iterator[None]:
         """Job by job, so that the caller can let others have their turn in between."""
-        waiting = [job for job in jobs if job.todo > 0 or job.moving]
+        waiting = [job for job in jobs if job.pending > 0 or job.moving]
         if not waiting:
             return
         self.pool.prepare(waiting)
@@ -57,7 +57,7 @@
         machine.look().pulling.add(spec.image)
         self.limits.use(spec, count)
         job.running_zones[machine.zone] = job.running_zones.get(machine.zone, 0) + count
-        job.todo -= count
+        job.pending -= count
 
     def place(self, job: JobView) -> None:
         """Starts for the job's waiting tasks, or room made or kept for them."""
@@ -67,10 +67,10 @@
             return
         if job.moving:
             self.place_moves(job)
-        if job.todo:
+        if job.pending:
             self.place_independent(job)
         if job.spec.daemon:
-            self.limits.reserve(job.spec, job.todo)
+            self.limits.reserve(job.spec, job.pending)
 
     def place_whole(self, job: JobView) -> None:
         """A gang: all of its tasks, or none."""
@@ -90,8 +90,8 @@
 
     def place_independent(self, job: JobView) -> None:
         """Tasks of an array, or replicas: as many as room and limit allow."""
-        wanted = self.limits.allowance_for(job.spec, job.todo)
-        over_limit = job.todo - wanted
+        wanted = self.limits.allowance_for(job.spec, job.pending)
+        over_limit = job.pending - wanted
         if wanted and self.preemption.wait_for_image(job, wanted):
             return
         left = self.place_tasks(job, wanted)
--- a/peathall/placement/reservations.py
+++ b/peathall/placement/reservations.py
@@ -56,7 +56,7 @@
         return Counter(
             reservation.machine
             for reservation in self._bookings
-            if reservation.spec.id == job.spec.id and reservation.task in job.todo
+            if reservation.spec.id == job.spec.id and reservation.task in job.pending
         )
 
     def room(self) -> dict[str, list[float]]:
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -164,7 +164,7 @@
     def _entries(self, assignments: list[Assignment]) -> list[RoundEntry]:
         entries = []
         for job_id, group in groupby(assignments, key=lambda start: start.job):
-            waiting = iter(self.cluster.jobs[job_id].todo)
+            waiting = iter(self.cluster.jobs[job_id].pending)
             number = self.cluster.new_attempt_number()
             for start in group:
                 tasks = Ranges()
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -69,7 +69,7 @@
         self.reservations = Reservations()
         self.requests: list[CapacityRequest] = []
         # Whoever else takes from the teams' limits does it between two rounds.
-        self.deciding = asyncio.Lock()
+        self.decision_lock = asyncio.Lock()
         self.snapshot = Snapshot(cluster, params, workers, self.reservations)
         self.rounds = RoundRecords(cluster, writer, compaction)
 
@@ -97,7 +97,7 @@
 
     async def round(self, now: float) -> None:
         """Decide, stop, move and start."""
-        async with self.deciding:
+        async with self.decision_lock:
             plan = await self.decide(now)
             for listener in self.demand:
                 listener.note_unplaced(plan)
@@ -166,9 +166,9 @@
         """Machines that take new work, with the room that is neither used nor kept."""
         return self.snapshot.machines()
 
-    def booting_machines(self) -> list[tuple[float, MachineView]]:
+    def starting_machines(self) -> list[tuple[float, MachineView]]:
         """Machines on their way, and in how many seconds they should be up."""
-        return self.snapshot.booting(self.loop.time())
+        return self.snapshot.starting(self.loop.time())
 
     def _still_wanted(self, reservation: Reservation, now: float) -> bool:
         job = self.cluster.jobs.get(reservation.spec.id)
@@ -225,9 +225,9 @@
     def _stop_in_order(self, attempt: Attempt, now: float) -> None:
         """With time to save; a gang is stopped as a whole, or the save fails."""
         spec = attempt.job.spec
-        grace = spec.save_s + constants.CHECKPOINT_GRACE_S if spec.checkpoint_s else 0.0
+        grace_s = spec.save_s + constants.CHECKPOINT_GRACE_S if spec.checkpoint_s else 0.0
         for target in list(attempt.job.attempts.values()) if spec.gang else [attempt]:
-            self.workers.stop(target, grace, now)
+            self.workers.stop(target, grace_s, now)
 
     def _still_valid(self, assignments: list[Assignment], now: float) -> list[Assignment]:
         """What may have changed while the round was decided: jobs that ended, machines that
@@ -241,7 +241,12 @@
                 dead.add(start.job)
         for job_id, count in wanted.items():
             job = self.cluster.jobs.get(job_id)
-            if job is None or job.held or job.phase is not JobPhase.ACTIVE or len(job.todo) < count:
+            if (
+                job is None
+                or job.on_hold
+                or job.phase is not JobPhase.ACTIVE
+                or len(job.pending) < count
+            ):
                 dead.add(job_id)
         return [start for start in assignments if start.job not in dead]
 
@@ -304,7 +309,7 @@
             if attempt.phase is not AttemptPhase.PLANNED:
                 continue
             attempt.enter(AttemptPhase.INTENDED, now)
-            if attempt.stopping or attempt.job.held or attempt.job.phase is not JobPhase.ACTIVE:
+            if attempt.stopping or attempt.job.on_hold or attempt.job.phase is not JobPhase.ACTIVE:
                 self.cluster.release(attempt, now)
             else:
                 spec = attempt.job.spec
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -51,9 +51,9 @@
         """Those of which a task may start or a replica is to move."""
         views = []
         for job in self.active():
-            todo, moving = self._may_start(job, self.now), self._moving(job)
-            if (todo or moving) and not self._zone_unknown(job):
-                views.append(self._job_view(job, todo, moving))
+            pending, moving = self._may_start(job, self.now), self._moving(job)
+            if (pending or moving) and not self._zone_unknown(job):
+                views.append(self._job_view(job, pending, moving))
         return views
 
     def machines(self) -> list[MachineView]:
@@ -65,7 +65,7 @@
             if self.is_schedulable(machine, self.now)
         ]
 
-    def booting(self, now: float) -> list[tuple[float, MachineView]]:
+    def starting(self, now: float) -> list[tuple[float, MachineView]]:
         """Machines on their way, and in how many seconds they should be up."""
         return [
             (max(1.0, self.cluster.types[machine.type].boot_s - (now - machine.created_at)),
@@ -76,7 +76,7 @@
 
     def is_schedulable(self, machine: Machine, now: float) -> bool:
         """Whether it takes new work: it hears us, and we have heard it lately."""
-        silent = self.workers.health.silence(machine, now)
+        silent = self.workers.health.seconds_since_heartbeat(machine, now)
         return (
             machine.is_schedulable and machine.cpus > 0 and silent < self.workers.health.suspect_s()
         )
@@ -131,11 +131,11 @@
     @staticmethod
     def _may_start(job: Job, now: float) -> int:
         """How many tasks may start now: of a job that may be mistaken, one probe at a time."""
-        if job.held or now < job.backoff_until:
+        if job.on_hold or now < job.backoff_until:
             return 0
         if job.health is not JobHealth.FAILING:
-            return len(job.todo)
-        return 0 if job.attempts or not job.todo else job.spec.tasks if job.spec.gang else 1
+            return len(job.pending)
+        return 0 if job.attempts or not job.pending else job.spec.tasks if job.spec.gang else 1
 
     def _moving(self, job: Job) -> list[MovingReplica]:
         """Replicas on machines that are to be left: they would never end by themselves."""
@@ -151,10 +151,10 @@
     def lost_replicas(self) -> list[tuple[JobSpec, int]]:
         """Of each job that has served before, how many replicas are missing."""
         return [
-            (job.spec, len(job.todo))
+            (job.spec, len(job.pending))
             for job in self.active()
             if job.spec.daemon
-            and job.todo
+            and job.pending
             and (job.has_started or job.attempts)
             and job.health is not JobHealth.FAILING
         ]
@@ -167,7 +167,7 @@
         """Another cell's job that is looked for room for."""
         return JobView(spec, spec.tasks, urgent=False, borrowed=True)
 
-    def _job_view(self, job: Job, todo: int, moving: list[MovingReplica]) -> JobView:
+    def _job_view(self, job: Job, pending: int, moving: list[MovingReplica]) -> JobView:
         zones: dict[str, int] = {}
         if job.spec.one_zone or job.spec.spread:
             for attempt in job.attempts.values():
@@ -180,7 +180,7 @@
             last = self.wall + constants.CANARY_DELAY_S
             return JobView(
                 job.spec,
-                todo,
+                pending,
                 False,
                 last,
                 zones,
@@ -194,7 +194,7 @@
         if job.borrowed:
             return JobView(
                 job.spec,
-                todo,
+                pending,
                 False,
                 self.wall,
                 zones,
@@ -208,7 +208,7 @@
         is_starving = not job.attempts and self.is_starving(job, self.now)
         return JobView(
             job.spec,
-            todo,
+            pending,
             job.spec.id in self.within_quota,
             latest,
             zones,
@@ -245,9 +245,9 @@
             (machine.cpus, machine.gpus, machine.ram),
             free,
             machine.images,
-            int(self.workers.health.silence(machine, self.now) / report_s),
+            int(self.workers.health.seconds_since_heartbeat(machine, self.now) / report_s),
             lambda: self._detail(machine),
-            max(0, constants.MACHINE_TASKS - self.workers.in_reports(machine)),
+            max(0, constants.MACHINE_TASKS - self.workers.reported_task_count(machine)),
             machine.replicas,
         )
 
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -213,11 +213,11 @@
         "is_starving",
         "latest_start",
         "moving",
+        "pending",
         "reservations",
         "running_zones",
         "spec",
         "submitted",
-        "todo",
         "urgent",
         "within_quota",
     )
@@ -225,7 +225,7 @@
     def __init__(
         self,
         spec: JobSpec,
-        todo: int,
+        pending: int,
         within_quota: bool = False,
         latest_start: float = 0.0,
         running_zones: dict[str, int] | None = None,
@@ -242,7 +242,7 @@
     ) -> None:
         self.borrowed = borrowed  # another cell's: nobody is stopped for it, nothing is rented
         self.spec = spec
-        self.todo = todo
+        self.pending = pending
         self.within_quota = within_quota  # within the team's guarantee
         self.latest_start = latest_start  # time of day; past means that the aim is missed
         self.running_zones = running_zones or {}
--- a/peathall/protocol/heartbeats.py
+++ b/peathall/protocol/heartbeats.py
@@ -163,13 +163,13 @@
     return {"writ": "start", "parcel": encode_task_name(job, task), "try": attempt}
 
 
-def stop_command(job: str, task: int, attempt: int, grace: float) -> dict[str, Any]:
+def stop_command(job: str, task: int, attempt: int, grace_s: float) -> dict[str, Any]:
     """An order to stop a task within so many seconds."""
     return {
         "writ": "stop",
         "parcel": encode_task_name(job, task),
         "try": attempt,
-        "leave_s": grace,
+        "leave_s": grace_s,
     }
 
 
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -239,7 +239,7 @@
             raise InvalidTransactionError(f"commit: {status} {raw}")
         raise StoreError(f"commit: {status} {raw}")
 
-    async def lease(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         """A new lease."""
         self.requests.spend(1, self.loop.time())
         status, raw = await self._ask("POST", "/leases", {"ttl_ms": int(ttl_s * 1000)})
@@ -247,7 +247,7 @@
             raise StoreError(f"lease: {status}")
         return int(raw["tenancy"])
 
-    async def renew(self, lease: int, timeout: float) -> None:
+    async def renew_lease(self, lease: int, timeout: float) -> None:
         """Renew a lease; LeaseExpiredError if it has ended."""
         self.requests.spend(1, self.loop.time())
         status, _ = await self._ask("POST", f"/leases/{lease}/renew", {}, timeout)
@@ -256,7 +256,7 @@
         if status != 200:
             raise StoreError(f"renew: {status}")
 
-    async def end_lease(self, lease: int) -> None:
+    async def revoke_lease(self, lease: int) -> None:
         """End a lease at once."""
         self.requests.spend(1, self.loop.time())
         await self._ask("DELETE", f"/leases/{lease}")
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -157,7 +157,7 @@
         self,
         store: StoreClient,
         limits: StateSettings,
-        lead: GuardKey,
+        guard: GuardKey,
         lease_is_valid: Callable[[], bool],
         on_leadership_lost: Callable[[], None],
         fence_unknown_outcomes: bool = False,
@@ -166,7 +166,7 @@
         self.store = store
         self.limits = limits
         self.value_limit = int(limits.value_kb * 1024 * constants.VALUE_FILL)  # bytes of a value
-        self.lead = lead
+        self.guard = guard
         self.lease_is_valid = lease_is_valid
         self.on_leadership_lost = on_leadership_lost
         self.loop = asyncio.get_running_loop()
@@ -198,7 +198,7 @@
             self.wake.set()
         return change.done
 
-    def take_over(self, changes: list[Mutation]) -> None:
+    def enqueue(self, changes: list[Mutation]) -> None:
         """Write changes that were made for somebody else."""
         self.queue += changes
         self.wake.set()
@@ -331,13 +331,13 @@
                     return
                 break
         lost = self.phase is not WriterPhase.STOPPED
-        self.settle(batch, LeadershipLostError())
+        self.fail(batch, LeadershipLostError())
         if lost:
             self.on_leadership_lost()
 
     async def _complete(self, transaction: Transaction, revision: int) -> bool:
         """It is carried out. False if the lead is lost."""
-        self.applied(transaction.batch, revision)
+        self.mark_applied(transaction.batch, revision)
         # What it wrote may be dropped before an earlier try of it is carried out late, whose
         # conditions would then hold once more.
         return (
@@ -345,7 +345,7 @@
         )
 
     def _transaction(self, batch: list[Mutation]) -> Transaction:
-        conditions = {self.lead.key: self.lead.version}
+        conditions = {self.guard.key: self.guard.version}
         ops: list[Put | Delete] = []
         for change in batch:
             for op in change.ops:
@@ -378,7 +378,7 @@
             return False
         batch = transaction.batch
         if len(batch) == 1:
-            self.settle(batch, error)
+            self.fail(batch, error)
             return True
         for change in batch:
             await self._commit([change])
@@ -386,14 +386,14 @@
 
     async def _resolve_conflict(self, transaction: Transaction, error: ConflictError) -> bool:
         """A condition does not hold. False if the lead is lost."""
-        if self.lead.key in error.failed:
+        if self.guard.key in error.failed:
             return False
         if transaction.outcome_unknown:
             # Our own earlier try may be what changed the records: look once more, now that a
             # further one has been refused for good.
-            applied = await self.until_known(transaction.ops, transaction.conditions)
-            if applied:
-                self.applied(transaction.batch, applied)
+            mark_applied = await self.resolve_outcome(transaction.ops, transaction.conditions)
+            if mark_applied:
+                self.mark_applied(transaction.batch, mark_applied)
                 return True
             if not await self._fence():
                 return False
@@ -422,7 +422,7 @@
             return 0
         return written.pop() if written else before + 1
 
-    async def until_known(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
+    async def resolve_outcome(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
         """The revision at which a doubtful transaction went through; 0 if it did not."""
         while self.phase is not WriterPhase.STOPPED:
             try:
@@ -433,16 +433,16 @@
 
     async def _fence(self) -> bool:
         """Write `lead` anew, so that no earlier try of ours can be carried out any more."""
-        lead = self.lead
+        guard = self.guard
         while self.phase is not WriterPhase.STOPPED:
             try:
-                item = await self.store.get(lead.key, first=True)
+                item = await self.store.get(guard.key, first=True)
                 # A version that we don't know is our own doubtful try, or another's lead.
-                if item is None or item.value != lead.value:
+                if item is None or item.value != guard.value:
                     return False
-                renewed = Put(lead.key, lead.value, lead.lease)
-                lead.version = await self.store.commit({lead.key: item.version}, [renewed])
-                log.info("wrote %s anew, since a commit without an answer was given up", lead.key)
+                renewed = Put(guard.key, guard.value, guard.lease)
+                guard.version = await self.store.commit({guard.key: item.version}, [renewed])
+                log.info("wrote %s anew, since a commit without an answer was given up", guard.key)
                 return True
             except LeaseExpiredError:
                 return False
@@ -452,12 +452,14 @@
 
     async def _split(self, batch: list[Mutation], failed: list[str]) -> None:
         """A record is not what we thought: fail its change, write the others."""
-        bad, rest = self.parted(batch, failed)
-        self.settle(bad, ConflictError(failed))
+        bad, rest = self.partition(batch, failed)
+        self.fail(bad, ConflictError(failed))
         self.queue[:0] = rest
 
     @staticmethod
-    def parted(batch: list[Mutation], failed: list[str]) -> tuple[list[Mutation], list[Mutation]]:
+    def partition(
+        batch: list[Mutation], failed: list[str]
+    ) -> tuple[list[Mutation], list[Mutation]]:
         """Those that depend on one of the keys, and the others."""
         bad: list[Mutation] = []
         rest: list[Mutation] = []
@@ -466,7 +468,7 @@
             (bad if touched & set(failed) else rest).append(change)
         return bad, rest
 
-    def applied(self, batch: list[Mutation], revision: int) -> None:
+    def mark_applied(self, batch: list[Mutation], revision: int) -> None:
         """The changes are stored, at this revision."""
         for change in batch:
             for op in change.ops:
@@ -478,7 +480,7 @@
                 change.done.set_result(revision)
 
     @staticmethod
-    def settle(batch: list[Mutation], error: Exception) -> None:
+    def fail(batch: list[Mutation], error: Exception) -> None:
         """The changes have failed."""
         for change in batch:
             if not change.done.done():
--- a/peathall/workers/exits.py
+++ b/peathall/workers/exits.py
@@ -50,4 +50,4 @@
 
     def _end_is_stored(self, known: ExitedAttempt) -> bool:
         job = self.cluster.jobs.get(known.job)
-        return not known.done or job is None or job.is_final or known.task in job.stored
+        return not known.done or job is None or job.is_final or known.task in job.stored_done
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -13,7 +13,7 @@
 log = logging.getLogger("peathall.workers")
 
 # Machine -> session and sequence number of its latest report to another controller.
-ReportsElsewhere = Callable[[], dict[str, tuple[int, int]]]
+HeartbeatsElsewhere = Callable[[], dict[str, tuple[int, int]]]
 
 
 class MachineHealth:
@@ -24,14 +24,14 @@
         cluster: ClusterState,
         settings: WorkerSettings,
         now: float,
-        elsewhere: ReportsElsewhere = dict,
+        elsewhere: HeartbeatsElsewhere = dict,
     ) -> None:
         self.cluster = cluster
         self.settings = settings
         self.elsewhere = elsewhere
         self.last_tick = self.active_since = now  # see note_tick()
 
-    def silence(self, machine: Machine, now: float) -> float:
+    def seconds_since_heartbeat(self, machine: Machine, now: float) -> float:
         """Seconds since its last report."""
         return now - machine.last_heard
 
@@ -52,7 +52,7 @@
         limit = constants.PROBE_AFTER_HEARTBEATS * self.settings.report_s
         return self.silent_to_us_s(machine, now) > limit
 
-    def most_heard(self, now: float) -> bool:
+    def most_are_live(self, now: float) -> bool:
         """Whether most machines report as ever: who does not has a trouble of its own."""
         limit = constants.PROBE_RECENT_HEARTBEATS * self.settings.report_s
         up = self.expected()
@@ -61,11 +61,15 @@
         ]
         return len(heard) >= constants.PROBE_MIN_LIVE_SHARE * len(up)
 
-    def heard_share(self, now: float) -> float:
+    def live_share(self, now: float) -> float:
         """Share of the machines that hear us and have lately reported."""
         limit = self.suspect_s()
         up = self.expected()
-        heard = [m for m in up if m.unacknowledged_since is None and self.silence(m, now) < limit]
+        heard = [
+            m
+            for m in up
+            if m.unacknowledged_since is None and self.seconds_since_heartbeat(m, now) < limit
+        ]
         return len(heard) / max(1, len(up))
 
     def suspect_s(self) -> float:
@@ -86,7 +90,7 @@
         """Two missed reports: by then every machine would have been heard."""
         return 2 * self.settings.report_s + constants.TICK_S
 
-    def reporting_elsewhere(self) -> Callable[[Machine], bool]:
+    def heartbeats_elsewhere(self) -> Callable[[Machine], bool]:
         """Tells of a machine whether it has lately sent another controller a report newer
         than all we had. A late copy of an old report is no sign of life."""
         elsewhere = self.elsewhere()
@@ -97,7 +101,7 @@
         phases = (MachinePhase.UP, MachinePhase.RECOVERED)
         return [m for m in self.cluster.machines.values() if m.phase in phases]
 
-    def out_of_reach(self, now: float) -> bool:
+    def is_partitioned(self, now: float) -> bool:
         """Most machines are alive, but don't hear us or are not heard: our own trouble."""
         self.note_tick(now)
         up, limit = self.expected(), self.unreached_s()
@@ -107,5 +111,5 @@
             if m.unacknowledged_since is not None or self.silent_to_us_s(m, now) > limit
         ]
         return len(lost) > constants.UNREACHABLE_SHARE * len(up) and any(
-            map(self.reporting_elsewhere(), lost)
+            map(self.heartbeats_elsewhere(), lost)
         )
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -32,7 +32,7 @@
                 machine.failed_probes = 0
             elif machine.replicas and machine.phase is MachinePhase.UP and machine.addr:
                 silent.append(machine)
-        if not silent or not self.health.most_heard(now):
+        if not silent or not self.health.most_are_live(now):
             return
         for machine in silent:
             asked = machine.failed_probes >= constants.PROBE_TRIES
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -29,7 +29,7 @@
 from peathall.workers.events import WorkerListener
 from peathall.workers.exits import ExitedAttempt, ExitedAttempts, ExitKey
 from peathall.workers.faults import FaultTracker
-from peathall.workers.health import MachineHealth, ReportsElsewhere
+from peathall.workers.health import HeartbeatsElsewhere, MachineHealth
 from peathall.workers.probes import LivenessProbes
 
 log = logging.getLogger("peathall.workers")
@@ -54,7 +54,7 @@
         listener: WorkerListener,
         connections: int,
         deferrable_rate: float = constants.DEFERRABLE_COMMANDS,
-        elsewhere: ReportsElsewhere = dict,
+        elsewhere: HeartbeatsElsewhere = dict,
     ) -> None:
         self.cluster = cluster
         self.faults = FaultTracker(cluster)
@@ -330,12 +330,12 @@
             self.stop(mate, 0.0, now)
 
     # --- orders --------------------------------------------------------------
-    def stop(self, attempt: Attempt, grace: float, now: float) -> None:
+    def stop(self, attempt: Attempt, grace_s: float, now: float) -> None:
         """Ask for the end of an attempt, at once and with every answer until it is gone."""
-        if attempt.stopping and grace >= attempt.grace:
+        if attempt.stopping and grace_s >= attempt.grace_s:
             return
         attempt.stopping = True
-        attempt.grace = grace
+        attempt.grace_s = grace_s
         if attempt.phase is AttemptPhase.INTENDED:
             # Never sent, so it exists nowhere.
             self.cluster.release(attempt, now)
@@ -343,11 +343,11 @@
         if attempt.phase is not AttemptPhase.PLANNED:
             self.delivery.push(self.cluster.machines[attempt.machine])
 
-    def fence(self) -> None:
+    def raise_fencing_token(self) -> None:
         """Starts that are under way are refused wherever an answer from now on gets."""
         self.counter += 1
 
-    def in_reports(self, machine: Machine) -> int:
+    def reported_task_count(self, machine: Machine) -> int:
         """How many tasks its next report will name: those it has, and ends not yet forgotten."""
         return len(machine.attempts) + len(self.exits.of(machine.name))
 
@@ -372,7 +372,7 @@
             if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.GONE):
                 continue
             if attempt.stopping:
-                commands.append(stop_command(job_id, task, attempt.number, attempt.grace))
+                commands.append(stop_command(job_id, task, attempt.number, attempt.grace_s))
             elif usable and self._may_start(attempt):
                 commands.append(start_command(job_id, task, attempt.number))
                 attempt.enter(AttemptPhase.SENT, now)
@@ -385,7 +385,9 @@
         early = attempt.phase in (AttemptPhase.INTENDED, AttemptPhase.SENT)
         job = attempt.job
         wanted = (
-            job.phase is JobPhase.ACTIVE and not job.held and self.loop.time() < job.start_deadline
+            job.phase is JobPhase.ACTIVE
+            and not job.on_hold
+            and self.loop.time() < job.start_deadline
         )
         return early and wanted and self._own(attempt)
 
@@ -410,7 +412,7 @@
         """Every second: tokens, health, probes and leases."""
         # Raised every second: late direct starts are refused from then on, and the token
         # that a report shows tells which of our answers the worker has had.
-        self.fence()
+        self.raise_fencing_token()
         self.health.note_tick(now)
         self.probes.tick(now)
         self._quarantine(self.faults.look(now))
--- a/tests/sim/test_days.py
+++ b/tests/sim/test_days.py
@@ -288,7 +288,7 @@
             await asyncio.sleep(8.0)
             assert {w.name for w in alive[210:]} <= world.workers.keys()
             assert not {w.name for w in deaf} & {
-                m.name for m in cluster.machines.values() if m.usable
+                m.name for m in cluster.machines.values() if m.is_schedulable
             }
             killed = sum(task.why == "killed" for w in alive[210:] for task in w.tasks.values())
             assert killed == 0
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -468,7 +468,7 @@
         assert leader is not None
         host, node = world.nodes[leader]
         kind = {"label": "small", "vcpus": 4, "cards": 0, "ram_gb": 32, "startup_s": 1e6}
-        names = [world.provision(kind, "a", False).name for _ in range(4000)]
+        names = [world.rent(kind, "a", False).name for _ in range(4000)]
         actions = node.leader.autoscaler.actions
 
         async def give_back() -> None:
@@ -523,8 +523,8 @@
 
     def unconditional(writer: Writer, batch: Any) -> Transaction:
         made = plain(writer, batch)
-        if writer.lead.key.startswith("duties/holder/"):
-            made.conditions.pop(writer.lead.key)
+        if writer.guard.key.startswith("duties/holder/"):
+            made.conditions.pop(writer.guard.key)
         return made
 
     monkeypatch.setattr(Writer, "_transaction", unconditional)
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -15,7 +15,7 @@
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
-from peathall.jobs.service import can_never_run
+from peathall.jobs.service import rejection_reason
 from peathall.operator_config.settings import Operator
 from peathall.protocol import codec
 from peathall.protocol.cloud import machine_type_from_wire
@@ -723,4 +723,6 @@
     def can_run(self, job: dict[str, Any]) -> bool:
         types = {t["label"]: machine_type_from_wire(t) for t in TYPES}
         wire = {k: v for k, v in job.items() if k not in OURS}
-        return can_never_run(decode_submission(wire, 0.0), types, self.settings[0].params) is None
+        return (
+            rejection_reason(decode_submission(wire, 0.0), types, self.settings[0].params) is None
+        )
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -46,7 +46,7 @@
         started = []
         for name in names:
             machine = self.cluster.machines[name]
-            task = next(iter(job.todo))
+            task = next(iter(job.pending))
             started.append(self.cluster.allocate(job, task, self.number, machine, "r"))
         for attempt in started:
             if job.spec.id in self.mistaken or attempt.machine in self.sick:
@@ -136,7 +136,7 @@
         now = 200.0 * number
         runs = [
             floor.cluster.allocate(job, task, floor.number, floor.cluster.machines[name], "r")
-            for task, name in zip(job.todo.first(3), names, strict=True)
+            for task, name in zip(job.pending.first(3), names, strict=True)
         ]
         for attempt in runs:
             attempt.enter(AttemptPhase.RUNNING, now)
@@ -166,9 +166,9 @@
             for attempt in list(job.attempts.values()):
                 if now - attempt.since > 20.0:
                     floor.end(attempt, now)
-            if job.todo and now >= job.backoff_until and rng.random() < 0.1:
+            if job.pending and now >= job.backoff_until and rng.random() < 0.1:
                 suspect = job.health is JobHealth.FAILING
-                count = 1 if suspect else min(len(job.todo), 4)
+                count = 1 if suspect else min(len(job.pending), 4)
                 usable = [
                     name
                     for name in floor.names
@@ -178,7 +178,7 @@
                     floor.start(job, rng.sample(usable, count), now)
     assert set(floor.emptied) == floor.sick
     for job in floor.cluster.jobs.values():
-        assert (job.spec.id in floor.mistaken) == bool(job.todo)
+        assert (job.spec.id in floor.mistaken) == bool(job.pending)
 
 
 def test_a_suspect_job_is_one_for_the_next_leader_too() -> None:
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -162,7 +162,7 @@
                 report(1, 3, workers.fencing_token, machine=machine.name), woke
             )
         assert not fleet._to_delete(woke + 0.1)
-        assert not workers.health.out_of_reach(woke + 0.1)
+        assert not workers.health.is_partitioned(woke + 0.1)
         for second in range(1, 17):
             workers.tick(woke + second)
             for machine in machines[:9]:
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -11,7 +11,7 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.jobs import records
-from peathall.jobs.service import Jobs, can_never_run
+from peathall.jobs.service import Jobs, rejection_reason
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
 from peathall.protocol.jobs import JobStatus, encode_job_status, spec_to_record
@@ -260,8 +260,8 @@
     team = Team("t", cpus_max=8.0)
     params = Params(PARAMS.workers, LIMITS, PARAMS.cloud, [team])
     array, replicas = spec(tasks=9), spec(tasks=9, daemon=True, estimate_s=0.0)
-    assert can_never_run(array, types, params) is None
-    assert can_never_run(replicas, types, params) == "needs more than its team's limit"
-    assert can_never_run(spec(tasks=8, daemon=True), types, params) is None
+    assert rejection_reason(array, types, params) is None
+    assert rejection_reason(replicas, types, params) == "needs more than its team's limit"
+    assert rejection_reason(spec(tasks=8, daemon=True), types, params) is None
     spread = spec(tasks=2, daemon=True, spread=True)
-    assert can_never_run(spread, types, params) is not None  # in the only zone there is
+    assert rejection_reason(spread, types, params) is not None  # in the only zone there is
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -299,7 +299,7 @@
     # Half of the limit is in use: a smaller job of the team would take what is left for ever.
     for view in views:
         view.free = [4.0, 0.0, 8.0]
-    gang.todo, small.todo = 2, 1
+    gang.pending, small.pending = 2, 1
     assert make_plan([small, gang], views, teams, {"t": [4.0, 0.0]}).assignments == []
     gang.is_starving = False
     assert [
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -881,9 +881,9 @@
     ("get", lambda c: c.get("a/b"), (200, ITEM), GET_CALL, ("a/b", {"x": 1}, 412)),
     ("get none", lambda c: c.get("a/b"), (404, {"epoch": 431}), GET_CALL, None),
     ("commit", commit, (200, {"epoch": 432}), COMMIT_CALL, 432),
-    ("lease", lambda c: c.lease(5.0), (200, {"tenancy": 7}), LEASE_CALL, 7),
-    ("renew", lambda c: c.renew(7, 1.0), (200, {}), RENEW_CALL, None),
-    ("end", lambda c: c.end_lease(7), (200, {}), ("DELETE", "/leases/7", None), None),
+    ("lease", lambda c: c.grant_lease(5.0), (200, {"tenancy": 7}), LEASE_CALL, 7),
+    ("renew", lambda c: c.renew_lease(7, 1.0), (200, {}), RENEW_CALL, None),
+    ("end", lambda c: c.revoke_lease(7), (200, {}), ("DELETE", "/leases/7", None), None),
     ("watch", lambda c: c.watch("c/", 431), (200, CHANGES), WATCH_CALL, NEWS),
     ("too old", lambda c: c.watch("c/", 431), (410, {}), WATCH_CALL, None),
     (
@@ -917,7 +917,7 @@
     (commit, (400, {"error": "too large"}), store.InvalidTransactionError),
     (commit, (429, {}), store.RateLimitError),
     (commit, (503, {}), store.StoreError),
-    (lambda c: c.renew(7, 1.0), (404, {}), store.LeaseExpiredError),
+    (lambda c: c.renew_lease(7, 1.0), (404, {}), store.LeaseExpiredError),
 ]
 
 
@@ -975,7 +975,7 @@
         await ping(node)
         http.check(("GET", path, None))
         assert node.peers.leading() == "hall-1"
-        assert node.peers.reporting_elsewhere(node.loop.time()) == {"m-000231": (1, 88)}
+        assert node.peers.heartbeats_elsewhere(node.loop.time()) == {"m-000231": (1, 88)}
 
     run(play)
 
@@ -1196,7 +1196,7 @@
         part = new_duties(RecordedHttp(), sender(http))
         part.board.holders = {duty: holder() for duty in duties.Duty}
         writer: Any = MagicMock()
-        writer.lead.version = 9
+        writer.guard.version = 9
         cloud = part.delegate(4, writer).cloud
         assert await cloud.provision(rental()) == ["m-1"]
         await cloud.delete(["m-1", "m-2"])
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -55,7 +55,7 @@
         largest = 0
         for minute in range(300):
             now = 60.0 * minute
-            assignments = [Assignment("j-1", "m-000001", 1)] if service.todo else []
+            assignments = [Assignment("j-1", "m-000001", 1)] if service.pending else []
             short = []
             for number in range(20):
                 job_id = f"j-{minute:05d}{number:03d}"
@@ -161,7 +161,7 @@
                 stored.set_result(at + 1)
             await asyncio.sleep(0)
         await starting
-        assert jobs["j-2"].attempts == {} and len(jobs["j-2"].todo) == 130
+        assert jobs["j-2"].attempts == {} and len(jobs["j-2"].pending) == 130
         phases = [a.phase for a in jobs["j-1"].attempts.values()]
         assert phases == ([] if refused == 0 else [AttemptPhase.INTENDED])
         assert all(len(m.attempts) <= 1 for m in workers.cluster.machines.values())
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -184,13 +184,13 @@
                 self.owners[op.key] = op.lease
         return revision
 
-    async def lease(self, ttl_s: float) -> int:
+    async def grant_lease(self, ttl_s: float) -> int:
         return LEASE
 
-    async def renew(self, lease_id: int, timeout: float) -> None:
+    async def renew_lease(self, lease_id: int, timeout: float) -> None:
         assert lease_id == LEASE
 
-    async def end_lease(self, lease_id: int) -> None:
+    async def revoke_lease(self, lease_id: int) -> None:
         self.ended.append(lease_id)
         self.data.pop("lead", None)
 
@@ -465,7 +465,7 @@
             live = [item("live/job/j-43", SERVICE | {"id": "j-43", "tasks": 2000})]
             earlier = item("done/j-43/3", {"done": [[1500, 1502]]})  # of an earlier version
             jobs.load(live, [*(item(*record) for record in DONE.items()), earlier], 3)
-            stored = jobs.cluster.jobs["j-43"].stored
+            stored = jobs.cluster.jobs["j-43"].stored_done
             assert stored.to_record() == [[0, 3], [869, 871], [980, 985], [1500, 1502]]
 
     play(test)
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -140,12 +140,12 @@
         machine = known(workers)
         workers.tick(7.0)
         workers.health.elsewhere = lambda: {"m-1": (1, 3)}
-        assert not workers.health.out_of_reach(7.0)
+        assert not workers.health.is_partitioned(7.0)
         workers.handle_heartbeat(report(1, 4, 0), 8.0)
         assert machine.unacknowledged_since == 6.0
-        assert not workers.health.out_of_reach(8.0)  # what it sent elsewhere was before that
+        assert not workers.health.is_partitioned(8.0)  # what it sent elsewhere was before that
         workers.health.elsewhere = lambda: {"m-1": (1, 5)}
-        assert workers.health.out_of_reach(8.0)
+        assert workers.health.is_partitioned(8.0)
 
     play(test)
 
@@ -191,13 +191,13 @@
 def test_a_copy_of_a_report_is_no_sign_of_life() -> None:
     async def run() -> None:
         peers = lone_peers()
-        peers.note_turned_away("m-1", (1, 7), 0.0)
-        assert peers.turned_away_lately(1.0) == {"m-1": (1, 7)}
-        peers.note_turned_away("m-1", (1, 7), 20.0)
-        peers.note_turned_away("m-1", (1, 5), 20.0)
-        assert peers.turned_away_lately(21.0) == {}
-        peers.note_turned_away("m-1", (2, 1), 22.0)
-        assert peers.turned_away_lately(23.0) == {"m-1": (2, 1)}
+        peers.note_redirected("m-1", (1, 7), 0.0)
+        assert peers.recently_redirected(1.0) == {"m-1": (1, 7)}
+        peers.note_redirected("m-1", (1, 7), 20.0)
+        peers.note_redirected("m-1", (1, 5), 20.0)
+        assert peers.recently_redirected(21.0) == {}
+        peers.note_redirected("m-1", (2, 1), 22.0)
+        assert peers.recently_redirected(23.0) == {"m-1": (2, 1)}
 
     asyncio.run(run())
 
@@ -225,7 +225,7 @@
     async def run() -> None:
         peers = lone_peers()
         for number in range(970):
-            peers.note_turned_away(f"m-{number}", (1, 7), peers.loop.time())
+            peers.note_redirected(f"m-{number}", (1, 7), peers.loop.time())
         asked = await peers.serve(Request("GET", "/ping", "knocks", b""))
         assert len(orjson.loads(asked.body)["knocks"]) == 970
         plain = await peers.serve(Request("GET", "/ping", "", b""))
@@ -353,7 +353,7 @@
             assert json_size(answer) < 60 * 1024
             told += answer["writs"]
         assert len({x["parcel"] for x in told}) == constants.MACHINE_TASKS + 50
-        assert workers.in_reports(machine) == constants.MACHINE_TASKS + 50
+        assert workers.reported_task_count(machine) == constants.MACHINE_TASKS + 50
 
     asyncio.run(run())
 
@@ -375,7 +375,7 @@
         ended = TaskStatus("j-1", 0, workers.base + 1, TaskState.EXITED, ExitReason.DONE, False)
         told = workers._exited(machine, ended, first, None, now)
         assert (len(job.done), job.phase, told.done) == (0, JobPhase.ACTIVE, False)
-        assert list(job.todo) == [0] and list(job.attempts) == [1]
+        assert list(job.pending) == [0] and list(job.attempts) == [1]
         workers.quarantine(machine, "sick")
         assert machine.phase is MachinePhase.DRAINING
         assert not second.stopping
