--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -49,7 +49,7 @@
     assert cells.worlds[HOME].told[cells.job_id(1)] == "done"
 
 
-def test_an_urgent_gang_runs_in_the_cell_that_has_room() -> None:
+def test_an_urgent_gang_runs_in_the_cell_with_free_capacity() -> None:
     async def day(cells: Cells) -> None:
         await full_beside_free(cells)
         began = cells.loop.now
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("back_s", [0.2, 4.0, 20.0])
 @pytest.mark.parametrize("who", [(HOME,), (BORROWER,), (HOME, BORROWER)], ids=str)
 @pytest.mark.parametrize("step", STEPS)
-def test_leaders_end_at_a_step(step: str, who: tuple[int, ...], back_s: float) -> None:
+def test_leaders_crash_at_a_step(step: str, who: tuple[int, ...], back_s: float) -> None:
     async def day(cells: Cells) -> None:
         def crash() -> None:
             for cell in who:
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize("seconds", [5.0, 50.0])
 @pytest.mark.parametrize("way", ["both", "to the borrower", "from the borrower"])
 @pytest.mark.parametrize("step", STEPS)
-def test_a_cell_vanishes_at_a_step(step: str, way: str, seconds: float) -> None:
+def test_a_cell_is_partitioned_at_a_step(step: str, way: str, seconds: float) -> None:
     """For less than the lease and for more, in both directions or one."""
 
     async def day(cells: Cells) -> None:
@@ -100,7 +100,7 @@
 @pytest.mark.parametrize("seconds", [6.0, 40.0])
 @pytest.mark.parametrize("cell", [HOME, BORROWER])
 @pytest.mark.parametrize("step", STEPS)
-def test_the_store_of_one_cell_is_out(step: str, cell: int, seconds: float) -> None:
+def test_the_store_of_one_cell_has_an_outage(step: str, cell: int, seconds: float) -> None:
     async def day(cells: Cells) -> None:
         world = cells.worlds[cell]
         world.troubled_until = cells.loop.now + 200.0
@@ -112,7 +112,7 @@
 @pytest.mark.parametrize("seconds", [1.0, 8.0, 40.0])
 @pytest.mark.parametrize("cell", [HOME, BORROWER])
 @pytest.mark.parametrize("step", STEPS)
-def test_a_leader_stands_still_at_a_step(step: str, cell: int, seconds: float) -> None:
+def test_a_leader_is_frozen_at_a_step(step: str, cell: int, seconds: float) -> None:
     async def day(cells: Cells) -> None:
         def freeze() -> None:
             index = cells.worlds[cell].leader()
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("back_s", [3.0, 45.0])
 @pytest.mark.parametrize("cell", [HOME, BORROWER])
 @pytest.mark.parametrize("step", STEPS)
-def test_all_controllers_of_a_cell_end_at_a_step(step: str, cell: int, back_s: float) -> None:
+def test_all_controllers_of_a_cell_crash_at_a_step(step: str, cell: int, back_s: float) -> None:
     """Back before machines' leases end, or long after. An end that home did not hear is kept."""
 
     async def day(cells: Cells) -> None:
@@ -151,7 +151,7 @@
 
 
 @pytest.mark.parametrize("step", [step for step in STEPS if step != "running"])
-def test_the_answer_to_the_commit_of_a_step_is_lost(step: str) -> None:
+def test_the_response_to_the_commit_of_a_step_is_lost(step: str) -> None:
     async def day(cells: Cells) -> None:
         lost: list[str] = []
 
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize("seed", range(745, 749))
-def test_commits_without_an_answer_are_carried_out_late(seed: int) -> None:
+def test_commits_of_unknown_outcome_are_applied_late(seed: int) -> None:
     async def day(cells: Cells) -> None:
         await full_beside_free(cells, 2)
         for world in cells.worlds:
@@ -229,7 +229,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["mute", "deaf", "cut off", "hung"])
-def test_a_job_comes_home_after_the_bound_though_its_machine_does_not_hear(trouble: str) -> None:
+def test_a_job_returns_after_the_bound_though_its_machine_is_unreachable(trouble: str) -> None:
     """The borrower vanishes and its machine hears nothing, or is not heard, or hangs, so that only
     leases end its tasks: home waits for both, and no longer."""
     lapse_s = 13.012 * 1.001  # of the site's workers, plus drift
@@ -268,7 +268,7 @@
     play(760, day, 3)
 
 
-def test_two_jobs_for_one_slot_and_three_cells_that_are_full() -> None:
+def test_two_jobs_for_one_slot_then_both_cells_are_full() -> None:
     async def day(cells: Cells) -> None:
         fillers = await full_beside_free(cells)
         users = [cells.submit(HOME, 1, run_s=20.0), cells.submit(HOME, 2, run_s=20.0)]
@@ -316,7 +316,7 @@
     play(775, day)
 
 
-def test_what_the_borrowers_team_is_guaranteed_stays_free() -> None:
+def test_the_quota_of_the_borrowers_team_stays_free() -> None:
     """Team red is guaranteed 4 GPUs of at most 12 in each cell: of 3 gangs of 3 GPUs that home
     hands over, the borrower takes those that leave them free."""
 
@@ -332,7 +332,7 @@
     play(780, day)
 
 
-def test_a_cell_without_the_feature_and_a_user_who_asks_the_borrower() -> None:
+def test_a_cell_without_the_feature_and_a_user_of_the_borrower() -> None:
     async def day(cells: Cells) -> None:
         cells.worlds[1].operators = {}
         await full_beside_free(cells)
@@ -452,14 +452,14 @@
     await asyncio.wait_for(user, 300.0)
 
 
-def test_the_judge_finds_a_lease_that_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_judge_finds_an_ignored_lease(monkeypatch: pytest.MonkeyPatch) -> None:
     play(820, cut_and_taken_back)
     monkeypatch.setattr(BorrowedJob, "may_run", lambda self, now: not self.revoked)
     with pytest.raises(AssertionError, match=r"two cells|ran_twice"):
         play(820, cut_and_taken_back)
 
 
-def test_the_judge_finds_an_epoch_that_is_not_checked(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_judge_finds_an_unchecked_epoch(monkeypatch: pytest.MonkeyPatch) -> None:
     """An old reservation, whose job was granted to another cell or anew since, is taken for it."""
 
     async def day(cells: Cells) -> None:
--- a/tests/sim/test_days.py
+++ b/tests/sim/test_days.py
@@ -246,7 +246,7 @@
         assert world.begun["j-000030"] - world.submitted["j-000030"] < 240
 
 
-def test_a_take_over_with_hundreds_of_machines() -> None:
+def test_failover_with_hundreds_of_machines() -> None:
     """The leader dies and is back within the election, while a fifth of the machines is cut off
     and some hear nothing; copies of reports are late. What lives must not be taken for dead."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
@@ -298,7 +298,7 @@
 
 
 @pytest.mark.parametrize("leads", [True, False])
-def test_a_controller_that_reaches_only_workers_and_users_lets_them_go(leads: bool) -> None:
+def test_a_controller_without_store_and_peers_turns_unhealthy(leads: bool) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(9) as loop:
         world = World(loop, 9, [node_settings(i) for i in range(3)])
@@ -331,7 +331,7 @@
 
 
 @pytest.mark.parametrize("seed", [31, 32])
-def test_mistaken_jobs_beside_sick_machines(seed: int) -> None:
+def test_failing_jobs_beside_unhealthy_machines(seed: int) -> None:
     """Arrays and gangs that fail everywhere until they are cancelled, through take-overs: the
     others are served, and no machine is emptied that is well."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
@@ -343,7 +343,7 @@
         assert any(job.get("mistaken") for job in world.jobs.values())
 
 
-def test_thousands_of_short_tasks_and_a_swarm_through_a_take_over() -> None:
+def test_thousands_of_short_tasks_and_a_swarm_through_a_failover() -> None:
     """One array of many short tasks and a swarm of jobs with one each, at once, at few changes
     a second, while the leader dies: each is done, none twice, and nobody else waits long."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
@@ -390,7 +390,7 @@
         assert world.starts < 4000 + 150 + 400  # few had to be started again
 
 
-def test_a_storm_of_polls_in_a_take_over() -> None:
+def test_a_storm_of_polls_during_failover() -> None:
     """Eight times the questions while the leader stands still, one controller asks the store for
     them all: the budget must suffice, and every job get its answer."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -22,7 +22,7 @@
 MACHINES = 4000
 
 
-def test_a_fleet_of_several_pages_is_rented_taken_over_and_replaced() -> None:
+def test_a_fleet_of_several_list_pages_is_provisioned_recovered_and_replaced() -> None:
     """More machines than a page of the list, a deletion, a rental or the sockets hold."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(21) as loop:
@@ -67,7 +67,7 @@
     asyncio.run(run())
 
 
-def test_what_thousands_of_machines_report_again_is_recognised() -> None:
+def test_repeated_task_statuses_of_thousands_of_machines_are_cached() -> None:
     """A fixed number of sentences, once exceeded, recognised none: each came after all others."""
     read: list[int] = []
 
@@ -88,14 +88,14 @@
     assert len(memory) == 1
 
 
-def test_the_list_s_pages_leave_most_calls_to_rentals_and_deletions() -> None:
+def test_list_pages_leave_most_cloud_calls_to_scaling() -> None:
     for rps in (1.0, 4.0, 6.0):
         pages = MACHINES / constants.LIST_PAGE
         assert pages / list_gap_s(MACHINES, rps) < 0.5 * rps
     assert list_gap_s(600, 4.0) == constants.LIST_S  # fleets of today are looked at as ever
 
 
-def test_deleted_machines_are_remembered_for_as_long_as_their_copies_may_come() -> None:
+def test_deleted_machines_are_remembered_while_late_heartbeats_may_come() -> None:
     cluster = ClusterState(1, 1)
     for number in range(100):
         cluster.note_deleted(f"m-{number}", 60.0 * number)
--- a/tests/sim/test_limits_fall.py
+++ b/tests/sim/test_limits_fall.py
@@ -186,7 +186,7 @@
 
 
 @pytest.mark.parametrize("step", WRITES, ids=lambda step: step.value)
-def test_the_answer_is_lost_and_then_the_limits_fall(step: Step, unbroken: Outcome) -> None:
+def test_the_response_is_lost_and_then_the_limits_fall(step: Step, unbroken: Outcome) -> None:
     """What was carried out is found by reading: repeated, it would meet the lower limits."""
     outcome = play(step, Fall.ALL, lost=True)
     assert outcome.fell_at is not None
@@ -195,13 +195,13 @@
 
 
 @pytest.mark.parametrize("fall", [Fall.VALUE, Fall.TRANSACTION])
-def test_a_service_that_ignores_the_smaller_limits_is_noticed(fall: Fall) -> None:
+def test_controllers_unaware_of_the_smaller_limits_are_noticed(fall: Fall) -> None:
     """The days above fail if a value or a transaction is as large as it used to be."""
     outcomes = [play(step, fall, told=False) for step in (Step.ACCEPT, Step.ARCHIVE)]
     assert any("limits" in broken for outcome in outcomes for broken in outcome.broken)
 
 
-def test_fewer_changes_a_second_than_a_transaction_may_have() -> None:
+def test_a_write_rate_below_the_size_of_a_transaction() -> None:
     """A site whose rate allows three changes a second and whose transactions may have twelve:
     none of more than three is ever sent, and all work ends."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
@@ -232,7 +232,7 @@
         assert world.state.refused == 0
 
 
-def test_the_lower_rate_is_kept_to(unbroken: Outcome) -> None:
+def test_the_lower_write_rate_is_kept(unbroken: Outcome) -> None:
     """At a rate that bites nothing is refused. Ignored, requests are refused again and again, or
     the day does not end: transactions of more changes than a second is worth never go through."""
     kept = play(Step.ROUND, Fall.RATE, write_rps=SCARCE_RPS)
--- a/tests/sim/test_services.py
+++ b/tests/sim/test_services.py
@@ -115,7 +115,7 @@
 ]
 
 
-def test_what_users_may_get_wrong_about_a_service() -> None:
+def test_invalid_requests_for_services() -> None:
     """Each answer at once; a job that is known gets 200 whatever its repetition carries."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(75) as loop:
--- a/tests/sim/test_upgrade.py
+++ b/tests/sim/test_upgrade.py
@@ -132,7 +132,7 @@
         (78, [1, 0, 2], "in order"),
     ],
 )
-def test_the_rules_hold_while_versions_change(seed: int, order: list[int], leading: str) -> None:
+def test_the_rules_hold_during_a_rolling_upgrade(seed: int, order: list[int], leading: str) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(seed) as loop:
         world = mixed_world(loop, seed)
@@ -149,7 +149,9 @@
         (93, [1, 3, 0, 4, 2], "last"),
     ],
 )
-def test_the_rules_hold_with_five_controllers(seed: int, order: list[int], leading: str) -> None:
+def test_the_rules_hold_during_a_rolling_upgrade_of_five_controllers(
+    seed: int, order: list[int], leading: str
+) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(seed) as loop:
         world = mixed_world(loop, seed, size=5)
@@ -178,7 +180,7 @@
 
 
 @pytest.mark.parametrize("commit", ["", "0" * 40])
-def test_a_version_that_is_not_to_be_had_fails_with_a_clear_line(
+def test_an_unavailable_production_version_fails_with_a_clear_line(
     commit: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(production, "deploy", lambda: {"production": commit})
@@ -193,7 +195,7 @@
         ('JOBS = "live/jobs/"', 'JOBS = "live/works/"'),  # accepted jobs, likewise
     ],
 )
-def test_a_record_that_the_other_version_does_not_know_is_noticed(change: tuple[str, str]) -> None:
+def test_a_record_unknown_to_the_other_version_is_noticed(change: tuple[str, str]) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     found = []
     for seed, leading in ((71, "in order"), (73, "first"), (77, "last")):
