--- a/peathall/cells/room.py
+++ b/peathall/cells/capacity.py
@@ -1,4 +1,4 @@
-"""Summaries of free room: small enough to be sent each second, and a hint only. Pure."""
+"""Summaries of free capacity: small enough to be sent each second, and only a hint. Pure."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 from collections.abc import Iterable, Sequence
 
 from peathall import constants
-from peathall.cells.model import RoomRow
+from peathall.cells.model import CapacityRow
 from peathall.placement.views import MachineView, allowed, fits_in
 from peathall.protocol.jobs import JobSpec
 
 
-def summarize(machines: Iterable[MachineView]) -> list[RoomRow]:
-    """Rows of like machines, those with the most room first, and no more than are sent."""
-    count: Counter[RoomRow] = Counter()
+def summarize(machines: Iterable[MachineView]) -> list[CapacityRow]:
+    """Rows of like machines, those with the most capacity first, at most CELL_ROOM_ROWS."""
+    count: Counter[CapacityRow] = Counter()
     for machine in machines:
         cpus, gpus, ram = (max(0, int(amount)) for amount in machine.free)
         if cpus or gpus:
-            count[RoomRow(machine.type, machine.zone, machine.spot, cpus, gpus, ram, 1)] += 1
+            count[CapacityRow(machine.type, machine.zone, machine.spot, cpus, gpus, ram, 1)] += 1
     rows = [
-        RoomRow(row.type, row.zone, row.spot, row.cpus, row.gpus, row.ram, machines)
+        CapacityRow(row.type, row.zone, row.spot, row.cpus, row.gpus, row.ram, machines)
         for row, machines in count.items()
     ]
     rows.sort(key=lambda row: (-row.gpus, -row.cpus, -row.machines, row.type, row.zone))
     return rows[: constants.CELL_ROOM_ROWS]
 
 
-def fits_whole(spec: JobSpec, rows: Sequence[RoomRow]) -> bool:
-    """Whether all tasks of the job seem to find room at once."""
+def fits_whole(spec: JobSpec, rows: Sequence[CapacityRow]) -> bool:
+    """Whether all tasks of the job seem to fit at once."""
     by_zone: Counter[str] = Counter()
     for row in rows:
         if not allowed(row, spec):
--- a/peathall/cells/client.py
+++ b/peathall/cells/client.py
@@ -1,42 +1,42 @@
-"""Requests to another cell: its leader is found among its controllers."""
+"""Client of another cell: finds the leader among the cell's controllers."""
 
 from __future__ import annotations
 
-import logging
 from collections.abc import Callable, Sequence
+from http import HTTPStatus
 from typing import TypeVar
 
 import msgspec
 import orjson
 
 from peathall import constants
-from peathall.cells.home import CellError
+from peathall.cells.errors import CellError
 from peathall.cells.model import (
-    Heartbeat,
-    HeartbeatAnswer,
-    Offer,
-    OfferAnswer,
-    RoomRow,
-    UserAnswer,
+    CapacityRow,
+    CellHeartbeat,
+    CellHeartbeatResponse,
+    HandoffOffer,
+    HandoffOfferResponse,
     UserRequest,
+    UserResponse,
     to_value,
 )
 from peathall.cells.settings import Neighbour
 from peathall.http.client import HttpClient, NoAnswerError
 
-log = logging.getLogger("peathall.cells")
+OFFER_PATH = "/cells/offer"
+HEARTBEAT_PATH = "/cells/heartbeat"
+USER_PATH = "/cells/user"
 
-OFFER, HEARTBEAT, USER = "/cells/offer", "/cells/heartbeat", "/cells/user"
+# Responses that another controller of the cell would give as well. Not among them: NOT_FOUND,
+# since cells may be off at one controller of several.
+FINAL_STATUSES = (HTTPStatus.BAD_REQUEST, HTTPStatus.FORBIDDEN, HTTPStatus.CONFLICT)
 
-# Answers that another controller of the cell would give as well. Not among them: 404, since cells
-# may be off at one controller of several.
-FINAL = (400, 403, 409)
-
-A = TypeVar("A")
+ResponseType = TypeVar("ResponseType")
 
 
 class CellClient:
-    """One other cell: where its leader is, what room it told of, and when it last answered."""
+    """One other cell: where its leader is, its free capacity, and when it last responded."""
 
     def __init__(
         self, neighbour: Neighbour, may_send: Callable[[], bool], clock: Callable[[], float]
@@ -46,57 +46,62 @@
         self.clients = [
             HttpClient(addr, "application/json", may_send=may_send) for addr in neighbour.controller
         ]
-        self.at = 0  # the controller that is asked next
-        self.term = 0  # of its leader, as it last answered
-        self.heard_at: float | None = None  # when it last answered a heartbeat
-        self._rows: Sequence[RoomRow] = ()
-        self._told_at = -1e9
-
-    def rows(self, now: float) -> Sequence[RoomRow]:
-        """Its free room as it told it lately; none if that is too long ago."""
-        return self._rows if now - self._told_at < constants.CELL_ROOM_FRESH_S else ()
-
-    def note_room(self, rows: Sequence[RoomRow], now: float) -> None:
-        """It has told of its free room."""
-        self._rows, self._told_at = rows, now
-
-    async def offer(self, offer: Offer) -> OfferAnswer:
-        """Its answer to an offer; CellError without one."""
-        return await self._ask(OFFER, offer, OfferAnswer, constants.CELL_OFFER_S)
-
-    async def heartbeat(self, beat: Heartbeat) -> HeartbeatAnswer:
-        """Its answer to a heartbeat; CellError without one."""
-        answer = await self._ask(HEARTBEAT, beat, HeartbeatAnswer, constants.CELL_TIMEOUT_S)
-        self.term = answer.term
-        self.heard_at = self.clock()
-        return answer
-
-    async def user_request(self, request: UserRequest) -> UserAnswer:
-        """Its answer to a user; CellError without one."""
-        return await self._ask(USER, request, UserAnswer, constants.FORWARD_S)
-
-    async def _ask(self, path: str, message: msgspec.Struct, kind: type[A], timeout: float) -> A:
-        """Ask controller after controller, within the time, until the leader answers."""
+        self.term = 0  # of its leader, by its latest response
+        self.last_response_at: float | None = None  # to a heartbeat, steady time
+        self._current = 0  # index of the controller that is asked first
+        self._rows: Sequence[CapacityRow] = ()
+        self._rows_at = -1e9
+
+    def rows(self, now: float) -> Sequence[CapacityRow]:
+        """Its summary of free capacity; empty if the latest one is too old."""
+        return self._rows if now - self._rows_at < constants.CELL_ROOM_FRESH_S else ()
+
+    def note_capacity(self, rows: Sequence[CapacityRow], now: float) -> None:
+        """It has sent a summary of its free capacity."""
+        self._rows, self._rows_at = rows, now
+
+    async def offer(self, offer: HandoffOffer) -> HandoffOfferResponse:
+        """Its response to an offer; CellError without one."""
+        return await self._request(OFFER_PATH, offer, HandoffOfferResponse, constants.CELL_OFFER_S)
+
+    async def heartbeat(self, heartbeat: CellHeartbeat) -> CellHeartbeatResponse:
+        """Its response to a heartbeat; CellError without one."""
+        response = await self._request(
+            HEARTBEAT_PATH, heartbeat, CellHeartbeatResponse, constants.CELL_TIMEOUT_S
+        )
+        self.term = response.term
+        self.last_response_at = self.clock()
+        return response
+
+    async def user_request(self, request: UserRequest) -> UserResponse:
+        """Its response to a user; CellError without one."""
+        return await self._request(USER_PATH, request, UserResponse, constants.FORWARD_S)
+
+    async def _request(
+        self, path: str, message: msgspec.Struct, kind: type[ResponseType], timeout: float
+    ) -> ResponseType:
+        """Ask controller after controller, within the time, until the leader responds."""
         raw = orjson.dumps(to_value(message))
         until = self.clock() + timeout
-        why = "it has no leader"
+        reason = "it has no leader"
         for _ in self.clients:
             left = until - self.clock()
             if left <= 0:
                 break
             try:
-                status, answer = await self.clients[self.at].request("POST", path, raw, left)
-                if status == 200:
+                client = self.clients[self._current]
+                status, answer = await client.request("POST", path, raw, left)
+                if status == HTTPStatus.OK:
                     return msgspec.convert(orjson.loads(answer), kind)
-                why = f"it answered {status}"
-                if status in FINAL:
+                reason = f"it answered {status}"
+                if status in FINAL_STATUSES:
                     break
             except (NoAnswerError, orjson.JSONDecodeError, msgspec.ValidationError) as exc:
-                why = str(exc)
-            self.at = (self.at + 1) % len(self.clients)
-        raise CellError(f"{self.name}: {why}")
+                reason = str(exc)
+            self._current = (self._current + 1) % len(self.clients)
+        raise CellError(f"{self.name}: {reason}")
 
     def close(self) -> None:
-        """End the connections."""
+        """Close the connections."""
         for client in self.clients:
             client.close()
--- a/peathall/cells/command.py
+++ b/peathall/cells/command.py
@@ -12,7 +12,7 @@
     told += [_cell_line(cell) for cell in status.cells]
     told += [_handoff_line(handoff, "lent to") for handoff in status.lent]
     told += [_handoff_line(handoff, "borrowed from") for handoff in status.borrowed]
-    told += [f"stays: {job}: {why}" for job, why in status.staying.items()]
+    told += [f"stays: {job}: {reason}" for job, reason in status.staying.items()]
     return told
 
 
--- /dev/null
+++ b/peathall/cells/heartbeats.py
@@ -0,0 +1,128 @@
+"""Heartbeats to the cells that this one borrows from, and the capacity summary they carry."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+import random
+from collections.abc import Callable
+from typing import Protocol
+
+from peathall import constants
+from peathall.cells.borrower import BorrowedJobs
+from peathall.cells.capacity import summarize
+from peathall.cells.client import CellClient
+from peathall.cells.errors import CellError
+from peathall.cells.model import CapacityRow, CellHeartbeat
+from peathall.cells.settings import CellSettings
+from peathall.cluster.state import ClusterState
+from peathall.config.modes import Mode
+from peathall.placement.views import MachineView
+
+log = logging.getLogger("peathall.cells")
+
+
+class FreeMachines(Protocol):
+    """Knows the free capacity of this cell's machines: the placement slice."""
+
+    def free_machines(self) -> list[MachineView]:
+        """Machines that take new work, with their free capacity."""
+
+
+class CapacitySummary:
+    """The summary of free capacity that this cell sends, recomputed at most twice a heartbeat."""
+
+    def __init__(
+        self,
+        mode: Mode,
+        cluster: ClusterState,
+        machines: FreeMachines,
+        clock: Callable[[], float],
+    ) -> None:
+        self.mode = mode
+        self.cluster = cluster
+        self.machines = machines
+        self.clock = clock  # steady time
+        self._rows: list[CapacityRow] = []
+        self._valid_until = 0.0
+
+    def rows(self) -> list[CapacityRow]:
+        """At most half a heartbeat old: over thousands of machines it takes milliseconds."""
+        if self.mode is not Mode.ON or not self.cluster.types:
+            return []
+        now = self.clock()
+        if now >= self._valid_until:
+            self._rows = summarize(self.machines.free_machines())
+            self._valid_until = now + constants.CELL_HEARTBEAT_S / 2
+        return self._rows
+
+
+class HeartbeatSender:
+    """Sends heartbeats to each neighbour, soon after a change and otherwise every second."""
+
+    def __init__(
+        self,
+        settings: CellSettings,
+        term: int,
+        task_expiry_s: float,
+        borrower: BorrowedJobs,
+        summary: CapacitySummary,
+        clock: Callable[[], float],
+        rng: random.Random,
+    ) -> None:
+        self.settings = settings
+        self.term = term
+        self.task_expiry_s = task_expiry_s  # how long a partitioned machine keeps tasks
+        self.borrower = borrower
+        self.summary = summary
+        self.clock = clock  # steady time
+        self.rng = rng
+        self.sequence = 0  # of the latest heartbeat, to whichever cell
+        self._due = {neighbour.name: asyncio.Event() for neighbour in settings.neighbour}
+
+    def wake(self, cell: str) -> None:
+        """The cell is to get a heartbeat soon."""
+        if cell in self._due:
+            self._due[cell].set()
+
+    async def run(self, cell: CellClient, is_leader: Callable[[], bool]) -> None:
+        """Send heartbeats to the cell until cancelled."""
+        while True:
+            await self._wait_until_due(cell)
+            if is_leader():
+                await self.send(cell)
+
+    async def _wait_until_due(self, cell: CellClient) -> None:
+        """Soon after a change, and soon again while a reservation waits for its grant."""
+        due = self._due[cell.name]
+        pending = self.borrower.pending(cell.name)
+        pause = constants.CELL_SOON_S if pending else constants.CELL_HEARTBEAT_S
+        try:
+            await asyncio.wait_for(due.wait(), pause * (0.9 + 0.2 * self.rng.random()))
+            await asyncio.sleep(constants.CELL_SOON_S)
+        except TimeoutError:
+            pass
+        due.clear()
+
+    async def send(self, cell: CellClient) -> None:
+        """Send one heartbeat and apply the rulings of the response."""
+        self.sequence += 1
+        heartbeat = CellHeartbeat(
+            self.settings.name,
+            cell.name,
+            self.term,
+            self.sequence,
+            cell.term,
+            self.task_expiry_s,
+            self.borrower.statuses(cell.name),
+            self.summary.rows(),
+        )
+        sent = self.clock()
+        try:
+            response = await cell.heartbeat(heartbeat)
+        except CellError as exc:
+            log.debug("heartbeat to cell: %s", exc)
+            return
+        cell.note_capacity(response.capacity, self.clock())
+        for ruling in response.rulings:
+            self.borrower.apply_ruling(cell.name, ruling, sent)
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -1,9 +1,9 @@
-"""The home's side of handoffs: what was offered and granted, and when a job is at home again.
+"""The home's side of handoffs: which jobs are offered and granted, and when one has returned.
 
-A job that is handed off is *held* at home: nothing of it starts here, and its need stays booked
-under its team's limit until it is surely gone from the borrower. That is so when the borrower's
-heartbeat of our own term no longer names it, or when the lease has lapsed for as long as machines
-may keep its tasks.
+A job that is handed off is on hold at home: nothing of it starts here, and its resources stay
+allocated under its team's quota until it is certainly gone from the borrower. That is so when the
+borrower's heartbeat of our own term no longer names it, or when the lease has expired for as long
+as machines may keep its tasks.
 """
 
 from __future__ import annotations
@@ -14,16 +14,17 @@
 
 import msgspec
 
+from peathall.cells.errors import CellError
 from peathall.cells.lease import LentLease
 from peathall.cells.model import (
     HANDOFF,
-    BorrowedItem,
+    BorrowedJobStatus,
     BorrowPhase,
+    CellHeartbeat,
+    HandoffOffer,
+    HandoffOfferResponse,
     HandoffPhase,
     HandoffRecord,
-    Heartbeat,
-    Offer,
-    OfferAnswer,
     Ruling,
     Verdict,
     to_value,
@@ -38,7 +39,7 @@
 
 log = logging.getLogger("peathall.cells")
 
-MAY_FOLLOW = {
+ALLOWED_TRANSITIONS = {
     HandoffPhase.OFFERED: {HandoffPhase.GRANTED, HandoffPhase.REVOKED},
     HandoffPhase.GRANTED: {HandoffPhase.REVOKED},
     HandoffPhase.REVOKED: {HandoffPhase.RETURNED, HandoffPhase.ENDED},
@@ -47,18 +48,14 @@
 }
 
 
-class CellError(Exception):
-    """Another cell did not answer, or refused; the message says why."""
-
-
-class JobFates(Protocol):
-    """Who stores how jobs end."""
+class JobFinalizer(Protocol):
+    """Stores how jobs end: the jobs slice."""
 
     def note_done(self, job: Job) -> None:
         """Tasks of the job are done."""
 
     def review(self, job: Job) -> None:
-        """Go on with what the job still waits for."""
+        """Resume what the job still waits for."""
 
 
 class OfferTarget(Protocol):
@@ -66,12 +63,12 @@
 
     name: str
 
-    async def offer(self, offer: Offer) -> OfferAnswer:
-        """Its answer; CellError without one."""
+    async def offer(self, offer: HandoffOffer) -> HandoffOfferResponse:
+        """Its response; CellError without one."""
 
 
 class Handoff:
-    """One handoff of a job."""
+    """One handoff of one job, as its home knows it."""
 
     __slots__ = ("cell", "closing", "epoch", "job", "lease", "phase", "since", "stopped")
 
@@ -81,24 +78,24 @@
         self.epoch = epoch
         self.phase = phase
         self.lease: LentLease | None = None  # once granted
-        self.since = (0, 0)  # heartbeats of the borrower after this one name the job if it is there
-        self.stopped = False  # revoked, and the borrower has said that it stops all of it
-        self.closing = False  # the record is being dropped
+        self.since = (0, 0)  # order of a heartbeat: later ones name the job if the borrower has it
+        self.stopped = False  # revoked, and the borrower has confirmed that it stops all tasks
+        self.closing = False  # its record is being deleted
 
     @property
     def key(self) -> str:
-        """Of its record."""
+        """Key of its record."""
         return HANDOFF + self.job.spec.id
 
     def enter(self, phase: HandoffPhase) -> bool:
-        """The one way to change the phase; RETURNED and ENDED are never left. False if the phase
-        can't follow."""
-        may_follow = phase in MAY_FOLLOW[self.phase]
-        if may_follow:
-            log.info("job %s: %s -> %s (%s)", self.job.spec.id, self.phase.name, phase.name,
-                     self.cell)  # fmt: skip
-            self.phase = phase
-        return may_follow
+        """The one way to change the phase; RETURNED and ENDED are final. False if the transition
+        is not allowed."""
+        if phase not in ALLOWED_TRANSITIONS[self.phase]:
+            return False
+        job_id, before = self.job.spec.id, self.phase.name
+        log.info("job %s: handoff %s -> %s (cell %s)", job_id, before, phase.name, self.cell)
+        self.phase = phase
+        return True
 
 
 class HomeHandoffs:
@@ -111,7 +108,7 @@
         cancel_s: float,
         cluster: ClusterState,
         writer: Writer,
-        jobs: JobFates,
+        jobs: JobFinalizer,
         clock: Callable[[], float],
     ) -> None:
         self.name = name
@@ -127,19 +124,19 @@
 
     # --- records -------------------------------------------------------------
     def load(self, items: list[KeyValue], now: float) -> None:
-        """After a take-over. An earlier leader granted nothing after now."""
+        """Recover after failover. An earlier leader granted nothing after `now` (steady time)."""
         for item in items:
             self.writer.versions[item.key] = item.version
             record = msgspec.convert(item.value, HandoffRecord)
             job = self.cluster.jobs.get(item.key.removeprefix(HANDOFF))
             if job is None:
-                self.writer.defer_delete(item.key)  # archived, which comes after the handoff's end
+                self.writer.defer_delete(item.key)  # archived, so its handoff had ended
                 continue
             handoff = Handoff(job, record.cell, record.epoch, record.phase)
             if record.phase is HandoffPhase.GRANTED:
-                handoff.lease = LentLease(record.lease_s, record.lapse_s, now)
+                handoff.lease = LentLease(record.lease_s, record.task_expiry_s, now)
             else:
-                handoff.enter(HandoffPhase.REVOKED)  # who offered it is gone
+                handoff.enter(HandoffPhase.REVOKED)  # the leader that offered it is gone
             self._add(handoff)
 
     def _add(self, handoff: Handoff) -> None:
@@ -151,24 +148,24 @@
         try:
             await self.writer.submit([Put(handoff.key, to_value(record))])
         except (StoreError, ConflictError) as exc:
-            log.error("the handoff of %s is not stored: %s", handoff.job.spec.id, exc)
+            log.error("job %s: handoff is not stored: %s", handoff.job.spec.id, exc)
             return False
         return True
 
     # --- offering ------------------------------------------------------------
     def begin(self, job: Job, cell: str) -> Handoff:
-        """From now on nothing of the job starts at home, and its need is booked."""
+        """Begin a handoff: nothing of the job starts at home, its resources stay allocated."""
         self._epoch += 1
         handoff = Handoff(job, cell, self._epoch, HandoffPhase.OFFERED)
         self._add(handoff)
         return handoff
 
     async def carry_out(self, handoff: Handoff, cell: OfferTarget) -> str | None:
-        """Hand the job to the cell, if it has room. Why not, or None once it is granted."""
-        why = await self._offer(handoff, cell)
-        if why is not None:
+        """Hand the job to the cell, if it has capacity. The reason if not, or None."""
+        reason = await self._offer(handoff, cell)
+        if reason is not None:
             await self._close(handoff)
-        return why
+        return reason
 
     async def _offer(self, handoff: Handoff, cell: OfferTarget) -> str | None:
         job = handoff.job
@@ -176,33 +173,34 @@
             return "the offer could not be stored"
         spec = spec_to_record(job.spec)
         try:
-            answer = await cell.offer(
-                Offer(self.name, cell.name, self.cluster.term, handoff.epoch, spec)
+            response = await cell.offer(
+                HandoffOffer(self.name, cell.name, self.cluster.term, handoff.epoch, spec)
             )
         except CellError as exc:
             return str(exc)
-        if not answer.reserved:
-            return answer.why
-        if answer.lapse_s > self.cancel_s:
-            return f"its machines may keep cancelled tasks for {answer.lapse_s:g} s"
-        handoff.since = (answer.term, answer.sequence)
-        return await self._grant(handoff, answer.lapse_s)
-
-    async def _grant(self, handoff: Handoff, lapse_s: float) -> str | None:
+        if not response.reserved:
+            return response.reason
+        if response.task_expiry_s > self.cancel_s:
+            return f"its machines may keep cancelled tasks for {response.task_expiry_s:g} s"
+        handoff.since = (response.term, response.sequence)
+        return await self._grant(handoff, response.task_expiry_s)
+
+    async def _grant(self, handoff: Handoff, task_expiry_s: float) -> str | None:
         if handoff.phase is not HandoffPhase.OFFERED or handoff.job.phase is not JobPhase.ACTIVE:
             return "it is being cancelled"
         record = HandoffRecord(
-            handoff.epoch, handoff.cell, HandoffPhase.GRANTED, self.lease_s, lapse_s
+            handoff.epoch, handoff.cell, HandoffPhase.GRANTED, self.lease_s, task_expiry_s
         )
         if not await self._store(handoff, record):
             return "the grant could not be stored"
         if not handoff.enter(HandoffPhase.GRANTED):
             return "it was cancelled meanwhile"  # and no borrower was told of the grant
-        handoff.lease = LentLease(self.lease_s, lapse_s, self.clock())
+        handoff.lease = LentLease(self.lease_s, task_expiry_s, self.clock())
         return None
 
     async def _close(self, handoff: Handoff) -> None:
-        """Nothing of it is at the borrower, nor will it be: drop the record, and go on at home."""
+        """The borrower has no task of the job, nor will it have one: delete the record, and
+        release the job at home."""
         handoff.enter(HandoffPhase.REVOKED)
         if handoff.closing:
             return
@@ -211,8 +209,8 @@
             if handoff.key in self.writer.versions:
                 await self.writer.submit([Delete(handoff.key)])
         except (StoreError, ConflictError) as exc:
-            log.error("the end of the handoff of %s: %s", handoff.job.spec.id, exc)
-            handoff.closing = False  # tried again with the next tick
+            log.error("job %s: end of handoff is not stored: %s", handoff.job.spec.id, exc)
+            handoff.closing = False  # retried with the next tick
             return
         job = handoff.job
         handoff.enter(HandoffPhase.ENDED if job.is_final else HandoffPhase.RETURNED)
@@ -222,27 +220,31 @@
         self.cluster.release_remote(job.spec)
         self.jobs.review(job)
 
-    # --- what borrowers tell -------------------------------------------------
-    def heard(self, beat: Heartbeat, now: float) -> list[Ruling]:
-        """Rulings on the jobs that a borrower names; and what it no longer names is at home again.
-        The caller has made sure that no later heartbeat of that cell was heard before."""
-        rulings = [self._rule(item, beat, now) for item in beat.borrowed]
-        if beat.home_term == self.cluster.term:
-            # Sent after the borrower had heard from this leader: what it does not name, it does
-            # not have, and no earlier grant can reach it any more.
-            named = {(item.job, item.epoch) for item in beat.borrowed}
-            for handoff in self._lent_to(beat.cell):
-                later = (beat.term, beat.sequence) > handoff.since
+    # --- heartbeats of borrowers ---------------------------------------------
+    def handle_heartbeat(self, heartbeat: CellHeartbeat, now: float) -> list[Ruling]:
+        """Rulings on the jobs that a borrower names; a job that it no longer names has returned.
+        The caller has made sure that no later heartbeat of that cell came before."""
+        rulings = [self._rule(item, heartbeat, now) for item in heartbeat.borrowed]
+        if heartbeat.home_term == self.cluster.term:
+            # Sent after a response of this leader had reached the borrower: a job that it does not
+            # name it does not have, and no earlier grant can reach it any more.
+            named = {(item.job, item.epoch) for item in heartbeat.borrowed}
+            for handoff in self._lent_to(heartbeat.cell):
+                later = (heartbeat.term, heartbeat.sequence) > handoff.since
                 if later and (handoff.job.spec.id, handoff.epoch) not in named:
                     self.background.spawn(self._close(handoff))
         return rulings
 
     def _lent_to(self, cell: str) -> list[Handoff]:
-        return [h for h in self.handoffs.values() if h.cell == cell and h.lease is not None]
+        return [
+            handoff
+            for handoff in self.handoffs.values()
+            if handoff.cell == cell and handoff.lease is not None
+        ]
 
-    def _rule(self, item: BorrowedItem, beat: Heartbeat, now: float) -> Ruling:
+    def _rule(self, item: BorrowedJobStatus, heartbeat: CellHeartbeat, now: float) -> Ruling:
         handoff = self.handoffs.get(item.job)
-        if handoff is None or (handoff.epoch, handoff.cell) != (item.epoch, beat.cell):
+        if handoff is None or (handoff.epoch, handoff.cell) != (item.epoch, heartbeat.cell):
             return Ruling(item.job, item.epoch, Verdict.REVOKED)
         if handoff.phase is HandoffPhase.OFFERED:
             return Ruling(item.job, item.epoch, Verdict.PENDING)
@@ -252,7 +254,7 @@
         if job.phase is not JobPhase.ACTIVE:
             handoff.enter(HandoffPhase.REVOKED)
         if handoff.phase is HandoffPhase.GRANTED and handoff.lease is not None:
-            handoff.lease.confirm(now, beat.lapse_s)
+            handoff.lease.confirm(now, heartbeat.task_expiry_s)
             job.running_remotely = item.running
             return Ruling(item.job, item.epoch, Verdict.GRANTED, handoff.lease.lease_s)
         if item.stopping and not handoff.stopped:
@@ -267,8 +269,8 @@
 
     # --- cancellation and time -----------------------------------------------
     def may_confirm_cancel(self, job: Job) -> bool:
-        """Whether all of the job must be gone within `cancel_s` from now, wherever it is. Asked
-        again until it is so; from the first time on nothing of it is granted any more."""
+        """Whether all tasks of the job must be gone within `cancel_s` from now, wherever they are.
+        Called again until it is so; from the first call on the lease is not renewed any more."""
         handoff = self.handoffs.get(job.spec.id)
         if handoff is None:
             return True
@@ -278,11 +280,11 @@
         return handoff.lease.cancelled_in_time(self.clock(), self.cancel_s)
 
     def tick(self, now: float) -> None:
-        """Every second: what is surely over comes home."""
+        """Once a second: end handoffs whose lease and tasks have certainly expired."""
         for handoff in list(self.handoffs.values()):
             revoked = handoff.phase is HandoffPhase.REVOKED
             if handoff.lease is None:
-                if revoked:  # nobody was ever told of a grant
+                if revoked:  # no borrower was ever told of a grant
                     self.background.spawn(self._close(handoff))
             elif now > handoff.lease.gone_at:
                 self.background.spawn(self._close(handoff))
--- a/peathall/cells/model.py
+++ b/peathall/cells/model.py
@@ -1,14 +1,15 @@
-"""Handoffs of jobs between cells: phases, records in the state service, and messages.
+"""Handoffs of jobs between cells: phases, stored records, and messages.
 
-At the home cell, which accepted the job and answers for it for good:
+A cell is a whole deployment. The *home* of a job is the cell that accepted it and answers its user
+for good; the *borrower* is the cell that runs it under a lease.
 
+Records of the home:
     handoff/JOB    epoch, borrower, phase (offered, granted), and the lease's length
-
-At the borrower, which runs it:
-
+Records of the borrower:
     borrowed/JOB   epoch, home, phase (reserved, adopted, ended), and the job's description
 
-Every message names its sender, since each cell knows the others by its own settings only.
+Every message names its sender, since each cell knows the others by its own settings only. Fields
+whose encoded name differs from ours are stored, or sent to cells of other versions, under it.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from typing import Annotated, Any
 
 import msgspec
-from msgspec import Meta, Struct
+from msgspec import Meta, Struct, field
 
 HANDOFF = "handoff/"
 BORROWED = "borrowed/"
@@ -29,28 +30,28 @@
 class HandoffPhase(Enum):
     """A handoff at the job's home. While there is one, nothing of the job starts at home."""
 
-    OFFERED = "offered"  # stored before the offer leaves; nothing may run elsewhere
-    GRANTED = "granted"  # stored before the borrower hears of it; it may run there
-    REVOKED = "revoked"  # in memory: nothing is confirmed any more, until it is surely over
-    RETURNED = "returned"  # the record is dropped: the job is at home again
-    ENDED = "ended"  # the record is dropped: the job is over and gone
+    OFFERED = "offered"  # stored before the offer is sent; nothing may run at the borrower
+    GRANTED = "granted"  # stored before the borrower is told; the job may run there
+    REVOKED = "revoked"  # in memory: the lease is not renewed any more, until it has expired
+    RETURNED = "returned"  # the record is deleted: the job may start at home again
+    ENDED = "ended"  # the record is deleted: the job is final and gone everywhere
 
 
 class BorrowPhase(Enum):
-    """A borrowed job."""
+    """A borrowed job at the borrower."""
 
-    RESERVED = "reserved"  # room is kept for it for a short time
-    ADOPTED = "adopted"  # granted: it may run while the lease lives
-    ENDED = "ended"  # all of it is done, which is stored; its home is told until it agrees
-    RELEASED = "released"  # the record is dropped: no task of it is here
+    RESERVED = "reserved"  # capacity is reserved for a short time
+    ADOPTED = "adopted"  # granted: it may run while the lease is valid
+    ENDED = "ended"  # all tasks are done, which is stored; the home is told until it confirms
+    RELEASED = "released"  # the record is deleted: no task of it is here
 
 
 class Verdict(Enum):
-    """What a job's home says of a borrowed job."""
+    """The home's decision on a borrowed job."""
 
     PENDING = "pending"  # offered, not granted yet
     GRANTED = "granted"  # the lease is renewed
-    REVOKED = "revoked"  # no part in it any more: stop it and drop it
+    REVOKED = "revoked"  # not at this borrower any more: stop it and delete its record
 
 
 class HandoffRecord(Struct, frozen=True):
@@ -59,12 +60,13 @@
     epoch: int
     cell: str
     phase: HandoffPhase
-    lease_s: float = 0.0  # for which each renewal holds; fixed for the handoff
-    lapse_s: float = 0.0  # s; after the lease's end no task is left at the borrower by then
+    lease_s: float = 0.0  # for which each renewal is valid; fixed for the handoff
+    # Seconds after the lease's expiry by which no task is left at the borrower.
+    task_expiry_s: float = field(name="lapse_s", default=0.0)
 
 
 class BorrowedRecord(Struct, frozen=True):
-    """The borrower's record of a job."""
+    """The borrower's record of a job; `job` is the stored form of its description."""
 
     epoch: int
     home: str
@@ -72,8 +74,8 @@
     job: dict[str, Any]
 
 
-class RoomRow(Struct, frozen=True, array_like=True):
-    """Machines of one type, zone and kind with the same free room, rounded down."""
+class CapacityRow(Struct, frozen=True, array_like=True):
+    """Machines of one type, zone and kind with the same free capacity, rounded down."""
 
     type: str
     zone: str
@@ -84,8 +86,8 @@
     machines: int
 
 
-class Offer(Struct, frozen=True):
-    """May this job run with you? Nothing of it starts before it is granted."""
+class HandoffOffer(Struct, frozen=True):
+    """Offers a job to another cell. Nothing of it starts there before it is granted."""
 
     cell: str
     to: str
@@ -94,42 +96,42 @@
     job: dict[str, Any]
 
 
-class OfferAnswer(Struct, frozen=True):
-    """Whether room is reserved, and the order of the borrower's latest heartbeat."""
+class HandoffOfferResponse(Struct, frozen=True):
+    """Whether capacity is reserved, and the order of the borrower's latest heartbeat."""
 
     reserved: bool
-    why: str = ""
+    reason: str = field(name="why", default="")
     term: int = 0
     sequence: int = 0
-    lapse_s: float = 0.0
+    task_expiry_s: float = field(name="lapse_s", default=0.0)
 
 
-class BorrowedItem(Struct, frozen=True):
-    """What a borrower tells of a job."""
+class BorrowedJobStatus(Struct, frozen=True):
+    """What a borrower's heartbeat says of one job."""
 
     job: str
     epoch: int
     phase: BorrowPhase
-    stopping: bool = False  # nothing of it starts there any more, and all of it is told to stop
+    stopping: bool = False  # nothing of it starts there any more, and all its tasks are stopped
     running: Count = 0
 
 
-class Heartbeat(Struct, frozen=True):
-    """Asks a home to renew the lease on the jobs that are borrowed from it. What is not named is
+class CellHeartbeat(Struct, frozen=True):
+    """Asks a home to renew the leases on the jobs borrowed from it. A job that it does not name is
     not at the borrower."""
 
     cell: str
     to: str
     term: int
     sequence: int  # counted up within the term
-    home_term: int  # of the latest answer that the sender has had
-    lapse_s: Seconds
-    borrowed: list[BorrowedItem] = []
-    room: list[RoomRow] = []
+    home_term: int  # of the home's latest response to the sender
+    task_expiry_s: Seconds = field(name="lapse_s")
+    borrowed: list[BorrowedJobStatus] = []
+    capacity: list[CapacityRow] = field(name="room", default_factory=list)
 
 
 class Ruling(Struct, frozen=True):
-    """The home's answer for one job."""
+    """The home's decision on one job of a heartbeat."""
 
     job: str
     epoch: int
@@ -137,12 +139,12 @@
     lease_s: float = 0.0
 
 
-class HeartbeatAnswer(Struct, frozen=True):
-    """The home's answer to a heartbeat."""
+class CellHeartbeatResponse(Struct, frozen=True):
+    """The home's response to a heartbeat."""
 
     term: int
     rulings: list[Ruling] = []
-    room: list[RoomRow] = []
+    capacity: list[CapacityRow] = field(name="room", default_factory=list)
 
 
 class UserRequest(Struct, frozen=True):
@@ -154,13 +156,13 @@
     job: str
 
 
-class UserAnswer(Struct, frozen=True):
-    """The home's answer to a user."""
+class UserResponse(Struct, frozen=True):
+    """The home's response to a user."""
 
     status: int
     value: dict[str, Any] | None = None
 
 
 def to_value(record: Struct) -> Any:
-    """The value under which a record is stored."""
+    """The form in which a record is stored, or a message is encoded."""
     return msgspec.to_builtins(record)
--- a/peathall/cells/settings.py
+++ b/peathall/cells/settings.py
@@ -13,7 +13,7 @@
 
 
 class Neighbour(Struct, frozen=True, forbid_unknown_fields=True):
-    """Another cell, and the addresses at which its controllers hear other controllers."""
+    """Another cell, and the addresses at which its controllers listen for other controllers."""
 
     name: Name
     controller: Annotated[list[Address], Meta(min_length=1)]
@@ -27,16 +27,17 @@
     mode: Mode = Mode.ON
     lease_s: LeaseSeconds = 30.0
 
-    def problem(self, lapse_s: float) -> str | None:
-        """What is wrong with the section, in one line; `lapse_s` as of the workers' settings."""
+    def problem(self, task_expiry_s: float) -> str | None:
+        """What is wrong with the section, in one line, or None; `task_expiry_s` is how long a
+        partitioned machine of this cell keeps its tasks."""
         names = [self.name, *(neighbour.name for neighbour in self.neighbour)]
         twice = next((name for name in names if names.count(name) > 1), None)
         if twice is not None:
             return f"cells: {twice} is named twice"
-        if self.lease_s < lapse_s:
-            # A shorter break than a machine's own would end what the machine survives.
+        if self.lease_s < task_expiry_s:
+            # A partition shorter than a worker's own lease must not end what the worker survives.
             return (
-                f"cells.lease_s: {self.lease_s:g} must be at least {lapse_s:g}, the longest that"
-                " a machine cut off keeps its tasks"
+                f"cells.lease_s: {self.lease_s:g} must be at least {task_expiry_s:g}, the longest"
+                " that a machine cut off keeps its tasks"
             )
         return None
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -14,8 +14,8 @@
 from typing import Protocol
 
 from peathall import constants
-from peathall.cells.model import RoomRow
-from peathall.cells.room import fits_whole
+from peathall.cells.capacity import fits_whole
+from peathall.cells.model import CapacityRow
 from peathall.config.platform import Objective
 from peathall.placement.capacity import free_in
 from peathall.placement.views import JobView, MachineView, allowed
@@ -42,12 +42,12 @@
         self.failures, self.until = 0, 0.0
 
 
-class CellRoom(Protocol):
+class CellCapacity(Protocol):
     """What is known of another cell."""
 
     name: str
 
-    def rows(self, now: float) -> Sequence[RoomRow]:
+    def rows(self, now: float) -> Sequence[CapacityRow]:
         """Its free room as it told it lately; none if that is too long ago."""
 
 
@@ -57,7 +57,7 @@
 
     since: float  # steady time
     expected_at: float  # steady time at which it should start at home, as first estimated
-    why: str = ""  # why it stays, for operators
+    reason: str = ""  # why it stays, for operators
     retries: Backoff = field(
         default_factory=lambda: Backoff(constants.CELL_RETRY_S, constants.CELL_RETRY_MOST_S)
     )
@@ -66,7 +66,8 @@
 def is_urgent(spec: JobSpec, objectives: Iterable[Objective]) -> bool:
     """Whether its class has an aim for the wait, and its priority is above the ordinary."""
     return spec.priority < Priority.STANDARD and any(
-        aim.kind == "wait" and aim.class_name == spec.class_name for aim in objectives
+        objective.kind == "wait" and objective.class_name == spec.class_name
+        for objective in objectives
     )
 
 
@@ -112,7 +113,9 @@
             and view.pending == view.spec.tasks <= constants.CELL_TASKS_MOST
         ]
         kept = {view.spec.id for view in found}
-        self.waiting = {job: wait for job, wait in self.waiting.items() if job in kept}
+        self.waiting = {
+            job: waiting_job for job, waiting_job in self.waiting.items() if job in kept
+        }
         for job in [job for job in self.handoffs if job not in live]:
             del self.handoffs[job]
         return found
@@ -120,15 +123,15 @@
     def choose(
         self,
         views: Iterable[JobView],
-        cells: Sequence[CellRoom],
+        cells: Sequence[CellCapacity],
         expected: Callable[[JobSpec], float],
         now: float,
         wall: float,
-    ) -> tuple[JobView, CellRoom] | None:
+    ) -> tuple[JobView, CellCapacity] | None:
         """The first job that is to be offered, and to whom."""
         for view in views:
-            cell, why = self._target(view, cells, expected, now, wall)
-            self.waiting[view.spec.id].why = why
+            cell, reason = self._target(view, cells, expected, now, wall)
+            self.waiting[view.spec.id].reason = reason
             if cell is not None:
                 return view, cell
         return None
@@ -136,21 +139,21 @@
     def _target(
         self,
         view: JobView,
-        cells: Sequence[CellRoom],
+        cells: Sequence[CellCapacity],
         expected: Callable[[JobSpec], float],
         now: float,
         wall: float,
-    ) -> tuple[CellRoom | None, str]:
+    ) -> tuple[CellCapacity | None, str]:
         spec = view.spec
-        wait = self.waiting.get(spec.id)
-        if wait is None:
-            wait = self.waiting[spec.id] = WaitingJob(now, now + expected(spec))
+        waiting_job = self.waiting.get(spec.id)
+        if waiting_job is None:
+            waiting_job = self.waiting[spec.id] = WaitingJob(now, now + expected(spec))
         if self.handoffs[spec.id] >= constants.CELL_HANDOFFS_MOST:
             return None, "it was handed off too often already"
-        if now < max(wait.since + constants.CELL_PATIENCE_S, wait.retries.until):
+        if now < max(waiting_job.since + constants.CELL_PATIENCE_S, waiting_job.retries.until):
             return None, "it has waited, or was refused, only just now"
         elsewhere_s = constants.CELL_HANDOFF_S + view.fetch_s
-        at_home_s = wait.expected_at - now
+        at_home_s = waiting_job.expected_at - now
         if at_home_s < -constants.CELL_GAIN_S:
             at_home_s = constants.CELL_UNKNOWN_WAIT_S  # the estimate was wrong
         if at_home_s < elsewhere_s + constants.CELL_GAIN_S:
@@ -161,11 +164,11 @@
             and at_home_s < view.latest_start - wall < constants.CELL_UNKNOWN_WAIT_S
         ):
             return None, "it meets its next aim at home"
-        return self._with_room(spec, cells, now)
+        return self._with_capacity(spec, cells, now)
 
-    def _with_room(
-        self, spec: JobSpec, cells: Sequence[CellRoom], now: float
-    ) -> tuple[CellRoom | None, str]:
+    def _with_capacity(
+        self, spec: JobSpec, cells: Sequence[CellCapacity], now: float
+    ) -> tuple[CellCapacity | None, str]:
         ready = [cell for cell in cells if now >= self._backoff(cell.name).until]
         # Whoever refused before is asked after the others.
         for cell in sorted(ready, key=lambda cell: self._backoff(cell.name).failures):
@@ -178,17 +181,17 @@
             cell, Backoff(constants.CELL_RETRY_S, constants.CELL_RETRY_MOST_S)
         )
 
-    def note_no_room(self, spec: JobSpec, now: float) -> None:
+    def note_no_capacity(self, spec: JobSpec, now: float) -> None:
         """Nobody has told of room lately: there is nothing to weigh."""
-        wait = self.waiting.setdefault(spec.id, WaitingJob(now, now))
-        wait.why = "no cell has told of room lately"
+        waiting_job = self.waiting.setdefault(spec.id, WaitingJob(now, now))
+        waiting_job.reason = "no cell has told of room lately"
 
     def note_outcome(self, job: str, cell: str, granted: bool, now: float) -> None:
         """What became of an offer."""
-        wait = self.waiting.get(job)
+        waiting_job = self.waiting.get(job)
         self.handoffs[job] += granted
-        if wait is not None:
-            wait.retries.failed(now, self.rng)
+        if waiting_job is not None:
+            waiting_job.retries.failed(now, self.rng)
         if granted:
             self._backoff(cell).succeeded()
         else:
--- a/peathall/cells/status.py
+++ b/peathall/cells/status.py
@@ -1,4 +1,4 @@
-"""What operators are told of cells."""
+"""What `peathall cells` tells operators. The field names are part of the command's output."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
     """Another cell."""
 
     cell: str
-    answered_s: float | None  # seconds since it last answered a heartbeat; None: never
-    machines_free: int  # with some room, as it last told
+    answered_s: float | None  # seconds since it last responded to a heartbeat; None: never
+    machines_free: int  # with some free capacity, by its latest summary
 
 
 class HandoffStatus(Struct):
@@ -23,11 +23,11 @@
 
 
 class CellsStatus(Struct):
-    """All of it, as the leader of a cell knows it."""
+    """All cells and handoffs as the leader of one cell knows them."""
 
     cell: str
     leader: str
     cells: list[CellStatus]
     lent: list[HandoffStatus]
     borrowed: list[HandoffStatus]
-    staying: dict[str, str]  # urgent jobs without room, and why they are not offered
+    staying: dict[str, str]  # urgent unplaced jobs -> why they are not offered
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -335,7 +335,7 @@
         if not self.is_active():
             return 503, None
         if self.cells is not None:
-            self.cells.borrower.stop_lapsed(self.loop.time())
+            self.cells.borrower.stop_expired(self.loop.time())
         return self.workers.handle_heartbeat(heartbeat, self.loop.time())
 
     async def _bounded(self, work: Awaitable[JobResponse], limit: float) -> JobResponse:
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -10,10 +10,11 @@
 import msgspec
 import pytest
 
-from peathall.cells.borrower import PATIENCE_S, BorrowedJob
+from peathall.cells.borrowed_job import PATIENCE_S, BorrowedJob
 from peathall.cells.home import HomeHandoffs
-from peathall.cells.model import BorrowedItem, BorrowPhase, Heartbeat, Ruling, Verdict
-from peathall.cells.service import CellLeader, HttpAnswer
+from peathall.cells.model import BorrowedJobStatus, BorrowPhase, CellHeartbeat, Ruling, Verdict
+from peathall.cells.requests import CellResponse
+from peathall.cells.service import CellLeader
 from peathall.cells.settings import CellSettings
 from peathall.config.modes import Mode
 from peathall.operator_config.settings import Operator
@@ -357,9 +358,11 @@
     """Of each message between cells copies come up to two leases late, to whoever leads then."""
     serve = CellLeader.serve
 
-    async def serve_and_copy(self: CellLeader, path: str, raw: bytes) -> HttpAnswer:
+    async def serve_and_copy(self: CellLeader, path: str, raw: bytes) -> CellResponse:
         for _ in range(2):
-            cells.loop.call_later(2 * LEASE_S * cells.rng.random() ** 2, again, self.own, path, raw)
+            cells.loop.call_later(
+                2 * LEASE_S * cells.rng.random() ** 2, again, self.settings, path, raw
+            )
         return await serve(self, path, raw)
 
     def again(own: CellSettings, path: str, raw: bytes) -> None:
@@ -472,7 +475,9 @@
     monkeypatch.setitem(PATIENCE_S, BorrowPhase.RESERVED, 30.0)
     play(825, day, 3)
 
-    def careless(self: HomeHandoffs, item: BorrowedItem, beat: Heartbeat, now: float) -> Ruling:
+    def careless(
+        self: HomeHandoffs, item: BorrowedJobStatus, beat: CellHeartbeat, now: float
+    ) -> Ruling:
         handoff = self.handoffs.get(item.job)
         if handoff is None:
             return Ruling(item.job, item.epoch, Verdict.REVOKED)
--- a/tests/sim/test_cells_command.py
+++ b/tests/sim/test_cells_command.py
@@ -11,7 +11,7 @@
 import pytest
 
 from peathall import cli
-from peathall.cells.model import Heartbeat, Offer, to_value
+from peathall.cells.model import CellHeartbeat, HandoffOffer, to_value
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.config.modes import Mode
 from peathall.http.client import HttpClient
@@ -97,11 +97,13 @@
             work = client.request("POST", path, raw, 5.0)
             return await cells.loop.create_task(work, context=context)
 
-        beat = Heartbeat("cell-1", "cell-0", 10**9, 7, 0, 13.0)
+        beat = CellHeartbeat("cell-1", "cell-0", 10**9, 7, 0, 13.0)
         heartbeat = orjson.dumps(to_value(beat) | {"a_field_of_later_versions": 1})
         stranger = orjson.dumps(to_value(msgspec.structs.replace(beat, cell="cell-9")))
         misdirected = orjson.dumps(to_value(msgspec.structs.replace(beat, to="cell-9")))
-        offer = orjson.dumps(to_value(Offer("cell-1", "cell-0", 1, 1, {"id": gang(1)["id"]})))
+        offer = orjson.dumps(
+            to_value(HandoffOffer("cell-1", "cell-0", 1, 1, {"id": gang(1)["id"]}))
+        )
         assert (await post(leader, "/cells/heartbeat", heartbeat))[0] == 200
         assert (await post(leader, "/cells/heartbeat", heartbeat))[0] == 409
         assert (await post(leader, "/cells/heartbeat", b"{"))[0] == 400
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -9,9 +9,9 @@
 import pytest
 
 from peathall import constants
+from peathall.cells.capacity import fits_whole, summarize
 from peathall.cells.lease import LentLease
-from peathall.cells.model import RoomRow
-from peathall.cells.room import fits_whole, summarize
+from peathall.cells.model import CapacityRow
 from peathall.cells.spill import Backoff, SpillRule, expected_wait_s
 from peathall.config.platform import Objective
 from peathall.leadership.lease import LeaderLease
@@ -46,11 +46,11 @@
     home = LentLease(lease_s, lapse_s, 0.0)
     home.confirm(way_s, lapse_s)
     stopped = borrower.until / (1 + drift)  # in true time
-    assert stopped < home.lapsed_at / (1 - drift)
+    assert stopped < home.expired_at / (1 - drift)
     assert stopped + lapse_s / (1 + drift) < home.gone_at / (1 - drift)
-    assert not home.cancelled_in_time(home.lapsed_at - 0.1, 1000.0)
-    assert home.cancelled_in_time(home.lapsed_at + 0.1, 26.0)
-    assert not home.cancelled_in_time(home.lapsed_at + 0.1, 20.0)
+    assert not home.cancelled_in_time(home.expired_at - 0.1, 1000.0)
+    assert home.cancelled_in_time(home.expired_at + 0.1, 26.0)
+    assert not home.cancelled_in_time(home.expired_at + 0.1, 20.0)
 
 
 def test_what_fits_by_its_summary_fits_by_trying() -> None:
@@ -105,8 +105,8 @@
     def __init__(self, name: str, machines: int) -> None:
         self.name, self.machines = name, machines
 
-    def rows(self, now: float) -> list[RoomRow]:
-        return [RoomRow("big", "a", True, 16, 4, 128, self.machines)]
+    def rows(self, now: float) -> list[CapacityRow]:
+        return [CapacityRow("big", "a", True, 16, 4, 128, self.machines)]
 
 
 OBJECTIVES = [Objective("wait", "c0", 15.0, 0.9)]
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -1077,21 +1077,21 @@
 
 
 def room() -> Any:
-    return cells.RoomRow("g8", "a", True, 8, 1, 64, 5)
+    return cells.CapacityRow("g8", "a", True, 8, 1, 64, 5)
 
 
 def offer() -> Any:
-    return cells.Offer("north", "south", 4, 2, RECORD)
+    return cells.HandoffOffer("north", "south", 4, 2, RECORD)
 
 
 def heartbeat() -> Any:
-    borrowed = cells.BorrowedItem("j-1", 2, cells.BorrowPhase("adopted"), True, 3)
-    return cells.Heartbeat("north", "south", 4, 6, 5, 23.5, [borrowed], [room()])
+    borrowed = cells.BorrowedJobStatus("j-1", 2, cells.BorrowPhase("adopted"), True, 3)
+    return cells.CellHeartbeat("north", "south", 4, 6, 5, 23.5, [borrowed], [room()])
 
 
 def heartbeat_answer() -> Any:
     ruling = cells.Ruling("j-1", 2, cells.Verdict("granted"), 30.0)
-    return cells.HeartbeatAnswer(5, [ruling], [room()])
+    return cells.CellHeartbeatResponse(5, [ruling], [room()])
 
 
 def user_request() -> Any:
@@ -1131,11 +1131,11 @@
         {"epoch": 2, "home": "north", "phase": "adopted", "job": RECORD},
     ),
     (offer(), OFFER),
-    (cells.OfferAnswer(True, "x", 5, 6, 23.5), OFFER_ANSWER),
+    (cells.HandoffOfferResponse(True, "x", 5, 6, 23.5), OFFER_ANSWER),
     (heartbeat(), HEARTBEAT),
     (heartbeat_answer(), HEARTBEAT_ANSWER),
     (user_request(), USER_REQUEST),
-    (cells.UserAnswer(200, QUEUED), USER_ANSWER),
+    (cells.UserResponse(200, QUEUED), USER_ANSWER),
     (
         CellsStatus(
             "north", "hall-1", [CellStatus("south", 1.5, 4)],
@@ -1281,7 +1281,7 @@
         lambda c: c.offer(offer()),
         OFFER_ANSWER,
         ("POST", "/cells/offer", OFFER),
-        cells.OfferAnswer(True, "x", 5, 6, 23.5),
+        cells.HandoffOfferResponse(True, "x", 5, 6, 23.5),
     ),
     (
         lambda c: c.heartbeat(heartbeat()),
@@ -1293,7 +1293,7 @@
         lambda c: c.user_request(user_request()),
         USER_ANSWER,
         ("POST", "/cells/user", USER_REQUEST),
-        cells.UserAnswer(200, QUEUED),
+        cells.UserResponse(200, QUEUED),
     ),
 ]
 
@@ -1343,7 +1343,7 @@
             return heartbeat_answer().rulings
 
         leader.borrower.reserve, leader.jobs.query = reserve, query
-        leader.home.heard = heard_beat
+        leader.home.handle_heartbeat = heard_beat
         found, value = await leader.serve(path, encoded(message, JSON))
         assert found == status
         check_bytes(encoded(value, JSON), expected, JSON)
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -21,7 +21,14 @@
 from peathall.autoscaling.actions import ProvisionRequest
 from peathall.cells.borrower import BorrowedJobs
 from peathall.cells.home import HomeHandoffs
-from peathall.cells.model import BorrowPhase, HandoffPhase, Offer, OfferAnswer, Ruling, Verdict
+from peathall.cells.model import (
+    BorrowPhase,
+    HandoffOffer,
+    HandoffOfferResponse,
+    HandoffPhase,
+    Ruling,
+    Verdict,
+)
 from peathall.cluster.job import Job, JobHealth
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.config.modes import Mode
@@ -689,9 +696,9 @@
 
 
 def test_a_handoff_is_written() -> None:
-    async def offer(made: Offer) -> OfferAnswer:
+    async def offer(made: HandoffOffer) -> HandoffOfferResponse:
         assert made.job == GANG
-        return OfferAnswer(reserved=True, term=1, sequence=1, lapse_s=25.0)
+        return HandoffOfferResponse(reserved=True, term=1, sequence=1, task_expiry_s=25.0)
 
     async def test(store: RecordingStore) -> None:
         async with leading(store) as jobs:
@@ -716,7 +723,7 @@
             home.load([item(HANDOFF_KEY, value)], 0.0)
             found = home.handoffs["j-41"]
             assert (found.cell, found.epoch, found.phase) == ("south", FIRST, phase)
-            told = found.lease and (found.lease.lease_s, found.lease.lapse_s)
+            told = found.lease and (found.lease.lease_s, found.lease.task_expiry_s)
             assert told == lease
 
     play(test)
@@ -740,8 +747,8 @@
     async def test(store: RecordingStore) -> None:
         async with leading(store) as jobs:
             borrower = borrower_of(jobs)
-            assert await borrower.reserve(Offer("north", "south", 3, FIRST, GANG)) is None
-            borrower.rule("north", Ruling("j-41", FIRST, Verdict.GRANTED, 600.0), 0.0)
+            assert await borrower.reserve(HandoffOffer("north", "south", 3, FIRST, GANG)) is None
+            borrower.apply_ruling("north", Ruling("j-41", FIRST, Verdict.GRANTED, 600.0), 0.0)
             await until(lambda: "j-41" in jobs.cluster.jobs)
             borrower.finish(jobs.cluster.jobs["j-41"])
             await store.next_write(BORROWED_KEY, 3)
