--- a/peathall/leadership/__init__.py
+++ b/peathall/leadership/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `leadership`: who leads, in which term, and until when it may act."""
+"""Leader election: which controller leads, in which term, and until when it may act."""
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -1,7 +1,7 @@
-"""Who leads. The `lead` key hangs on a lease; `term` counts take-overs for good.
+"""A controller's part in the election: follower, candidate, leader, or in backoff.
 
-Both are written in one commit, so a term is never given twice. Others follow
-`lead` with a watch and stand for election once it is gone.
+A follower watches the leader key and starts a campaign once the key is gone. The leader renews
+its lease until the lease expires, until it steps down, or until what it runs as leader ends.
 """
 
 from __future__ import annotations
@@ -10,94 +10,38 @@
 import logging
 import random
 from collections.abc import Awaitable, Callable
-from dataclasses import dataclass, field
 from enum import Enum, auto
-from typing import Protocol
 
 import msgspec
-from msgspec import Struct
 
 from peathall import constants
 from peathall.config.modes import Mode
-from peathall.leadership.lease import LeaderLease
-from peathall.store.client import (
-    ConflictError,
-    LeaseExpiredError,
-    Put,
-    StoreClient,
-    StoreError,
-)
-from peathall.store.writer import GuardKey
+from peathall.leadership.campaign import Campaign, CampaignGate
+from peathall.leadership.campaign import CampaignTerms as CampaignTerms
+from peathall.leadership.records import LEADER_KEY as LEADER_KEY
+from peathall.leadership.records import TERM_KEY as TERM_KEY
+from peathall.leadership.records import LeaderRecord as LeaderRecord
+from peathall.leadership.records import TermRecord as TermRecord
+from peathall.leadership.term import LeaderTerm as LeaderTerm
+from peathall.leadership.term import renew_lease, revoke_lease
+from peathall.store.client import StoreClient, StoreError
 
 log = logging.getLogger("peathall.leadership")
 
-LEADER_KEY = "lead"
-TERM_KEY = "term"
+BACKOFF_POLL_S = 0.5  # s; between reads of the leader key in backoff, while nobody leads
 
 
 class ElectionPhase(Enum):
     """A controller's part in the election."""
 
-    FOLLOWER = auto()  # somebody leads, or we do not know
+    FOLLOWER = auto()  # another controller leads, or it is not known which
     CANDIDATE = auto()  # a campaign is under way
     LEADER = auto()
-    BACKOFF = auto()  # gave the lead up since workers did not reach us
-
-
-class TermRecord(Struct, frozen=True, omit_defaults=True):
-    """The value of `term`."""
-
-    n: int = 0
-    cells: bool = False  # jobs may be in other cells: only who knows of those may lead
-
-
-class LeaderRecord(Struct, frozen=True):
-    """The value of `lead`: who leads, in which term, on which lease."""
-
-    member: str
-    term: int
-    lease: int
-
-
-@dataclass(frozen=True, slots=True)
-class CampaignTerms:
-    """On what a campaign depends besides `lead`, and what a win writes beside it."""
-
-    conditions: dict[str, int]
-    puts: list[Put] = field(default_factory=list)
-    delegates: bool = False  # who wins acts on the cloud by way of the holders of duties
-
-
-class CampaignGate(Protocol):
-    """Decides on what terms this controller may stand."""
-
-    async def terms(self) -> CampaignTerms:
-        """Those of the next campaign."""
-
-    def refused(self, failed: list[str]) -> bool:
-        """Whether such keys, which failed a campaign, will fail the next one as well."""
-
-
-class LeaderTerm:
-    """What a won election gives: the term, `lead` as it was written, and its lease."""
-
-    def __init__(
-        self,
-        term: int,
-        record: GuardKey,
-        lease_id: int,
-        lease: LeaderLease,
-        delegates: bool = False,
-    ) -> None:
-        self.delegates = delegates
-        self.term = term
-        self.record = record
-        self.lease_id = lease_id
-        self.lease = lease
+    BACKOFF = auto()  # it resigned, or its term failed: another controller should lead
 
 
 class Election:
-    """Takes the lead when it is free, renews its lease, and gives it up."""
+    """Campaigns when nobody leads, holds the term while it leads, and steps down."""
 
     def __init__(
         self,
@@ -108,15 +52,15 @@
         gate: CampaignGate,
         cells: Mode = Mode.OFF,
     ) -> None:
-        self.cells = cells
+        """`lead` runs while this controller leads; it may return earlier, which ends the term."""
         self.name = name
-        self.gate = gate
         self.store = store
-        self.lead = lead  # runs as long as we lead; returns when deposed
+        self.lead = lead
         self.rng = rng
+        self.campaign = Campaign(name, store, gate, cells)
         self.loop = asyncio.get_running_loop()
         self.phase = ElectionPhase.FOLLOWER
-        self.leader: str | None = None  # who leads as far as we know
+        self.leader: str | None = None  # the leading controller, as far as it is known
         self.leader_term: LeaderTerm | None = None
         self.backoff_until = 0.0
         self.leaderless_since: float | None = None
@@ -128,7 +72,7 @@
             self.phase = phase
 
     def is_leader(self) -> bool:
-        """Whether this controller's lease on the lead lives."""
+        """Whether this controller leads and its leader lease is valid now."""
         return (
             self.phase is ElectionPhase.LEADER
             and self.leader_term is not None
@@ -136,39 +80,55 @@
         )
 
     def step_down(self) -> None:
-        """The lead turned out to be another's."""
+        """End the term: the leader key was found to be another controller's."""
         self._stepping_down.set()
 
+    async def resign(self, why: str) -> None:
+        """Revoke the leader lease and back off, since another controller can do better."""
+        if self.leader_term is None:
+            return
+        log.info("leadership: resigning term %d: %s", self.leader_term.term, why)
+        self.backoff_until = self.loop.time() + constants.RESIGN_BACKOFF_S
+        lease_id = self.leader_term.lease_id
+        self.leader_term.lease.end()
+        self.step_down()
+        await revoke_lease(self.store, lease_id)
+
     async def run(self) -> None:
-        """Follow, stand and lead in turns, for ever."""
-        started = True
+        """Follow, campaign and lead in turns, until cancelled."""
+        first = True
         while True:
             try:
-                item = await self.store.get(LEADER_KEY, first=True)
-                lead = msgspec.convert(item.value, LeaderRecord) if item is not None else None
-                if lead is not None and lead.member == self.name:
-                    # We are not leading, so this is an earlier life of ours or a
-                    # campaign whose answer was lost: nobody acts on it.
-                    log.info("ending the lease of an earlier life (term %d)", lead.term)
-                    await self._end(lead.lease)
-                    item = lead = None
-                self._follow(lead)
-                if item is None:
-                    if not self._backing_off():
-                        if not started:
-                            await asyncio.sleep(self.rng.random() * constants.CAMPAIGN_JITTER_S)
-                        started = False
-                        await self._campaign()
-                    else:
-                        await asyncio.sleep(0.5)
-                else:
-                    await self._await_change(item.version)
+                await self._follow_or_campaign(first)
             except StoreError as exc:
-                log.debug("election: %s", exc)
+                log.debug("leadership: the state service gave no answer: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
-            started = False
-
-    def _backing_off(self) -> bool:
+            first = False
+
+    async def _follow_or_campaign(self, first: bool) -> None:
+        """Read the leader key; wait until it changes, or campaign if there is none."""
+        key_value = await self.store.get(LEADER_KEY, first=True)
+        leader = msgspec.convert(key_value.value, LeaderRecord) if key_value is not None else None
+        if leader is not None and leader.member == self.name:
+            # This process does not lead. The record is from before a restart, or from a campaign
+            # whose answer was lost: no controller acts on it.
+            log.info("leadership: revoking our lease of term %d, which is not served", leader.term)
+            await revoke_lease(self.store, leader.lease)
+            key_value = leader = None
+        self._follow(leader)
+        if key_value is not None:
+            await self._await_change(key_value.version)
+        elif self._is_backing_off():
+            await asyncio.sleep(BACKOFF_POLL_S)
+        else:
+            if not first:
+                await asyncio.sleep(self.rng.random() * constants.CAMPAIGN_JITTER_S)
+            self._enter(ElectionPhase.CANDIDATE)
+            leader_term = await self.campaign.run()
+            if leader_term is not None:
+                await self._hold(leader_term)
+
+    def _is_backing_off(self) -> bool:
         now = self.loop.time()
         if self.leaderless_since is None:
             self.leaderless_since = now
@@ -177,10 +137,10 @@
             and now - self.leaderless_since < constants.LEADERLESS_BACKOFF_S
         )
 
-    def _follow(self, lead: LeaderRecord | None) -> None:
-        leader = lead.member if lead is not None else None
+    def _follow(self, record: LeaderRecord | None) -> None:
+        leader = record.member if record is not None else None
         if leader != self.leader:
-            log.info("leader is now %s", leader)
+            log.info("leadership: leader %s -> %s", self.leader, leader)
         self.leader = leader
         if leader is not None:
             self.leaderless_since = None
@@ -191,118 +151,44 @@
         )
 
     async def _await_change(self, version: int) -> None:
-        after: int = version
+        """Return once the leader key has changed after this version, or the watch has ended."""
+        after = version
         while True:
             result = await self.store.watch(LEADER_KEY, after)
             if result is None:
                 return
-            after, changes = result
-            if any(change.key == LEADER_KEY for change in changes):
+            after, events = result
+            if any(event.key == LEADER_KEY for event in events):
                 return
 
-    async def _end(self, lease_id: int) -> None:
-        try:
-            await self.store.revoke_lease(lease_id)
-        except StoreError as exc:
-            log.debug("ending a lease: %s", exc)
-
-    async def _campaign(self) -> None:
-        self._enter(ElectionPhase.CANDIDATE)
-        terms = await self.gate.terms()
-        term_item = await self.store.get(TERM_KEY, first=True)
-        before = msgspec.convert(term_item.value, TermRecord) if term_item else TermRecord()
-        if before.cells and self.cells is Mode.OFF:
-            log.error("cells are on, and off at this controller: it does not lead")
-            await asyncio.sleep(constants.CAMPAIGN_REFUSED_RETRY_S)
-            return
-        term = before.n + 1
-        counted = TermRecord(term, before.cells or self.cells is Mode.ON)
-        sent = self.loop.time()
-        lease_id = await self.store.grant_lease(constants.LEADER_LEASE_TTL_S)
-        record = msgspec.to_builtins(LeaderRecord(self.name, term, lease_id))
-        try:
-            version = await self.store.commit(
-                {
-                    LEADER_KEY: 0,
-                    TERM_KEY: term_item.version if term_item else 0,
-                    **terms.conditions,
-                },
-                [
-                    Put(LEADER_KEY, record, lease_id),
-                    Put(TERM_KEY, msgspec.to_builtins(counted)),
-                    *terms.puts,
-                ],
-            )
-        except (ConflictError, LeaseExpiredError) as exc:
-            await self._end(lease_id)
-            if isinstance(exc, ConflictError) and self.gate.refused(exc.failed):
-                await asyncio.sleep(constants.CAMPAIGN_REFUSED_RETRY_S)
-            return
-        # A commit without an answer ends up in run(): if it did go through, `lead`
-        # names us, that lease is ended, and the term is simply skipped.
-        written = GuardKey(LEADER_KEY, record, version, lease_id)
-        lease = LeaderLease(constants.LEADER_LEASE_TTL_S, sent)
-        self.leader_term = LeaderTerm(term, written, lease_id, lease, terms.delegates)
-        await self._lead(self.leader_term)
-
-    async def _lead(self, leader_term: LeaderTerm) -> None:
+    async def _hold(self, leader_term: LeaderTerm) -> None:
+        """Lead until the lease expires, the controller steps down, or the leader ends."""
+        self.leader_term = leader_term
         self._stepping_down = asyncio.Event()
         self.leader = self.name
         self.leaderless_since = None
         self._enter(ElectionPhase.LEADER)
-        log.info("leading in term %d", leader_term.term)
+        log.info("leadership: leading in term %d", leader_term.term)
         self.store.set_leading(True)
-        renewing = asyncio.create_task(self._renew(leader_term))
-        leading = asyncio.ensure_future(self.lead(leader_term))
-        stepping_down = asyncio.create_task(self._stepping_down.wait())
+        tasks = [
+            asyncio.create_task(renew_lease(self.store, leader_term)),
+            asyncio.ensure_future(self.lead(leader_term)),
+            asyncio.create_task(self._stepping_down.wait()),
+        ]
         try:
-            await asyncio.wait(
-                [renewing, leading, stepping_down], return_when=asyncio.FIRST_COMPLETED
-            )
+            await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
             self.leader_term = None
             self._enter(ElectionPhase.FOLLOWER)
             self.leader = None
             self.store.set_leading(False)
-            for task in (renewing, leading, stepping_down):
+            for task in tasks:
                 task.cancel()
-            results = await asyncio.gather(renewing, leading, stepping_down, return_exceptions=True)
-            for result in results:
+            for result in await asyncio.gather(*tasks, return_exceptions=True):
                 if isinstance(result, Exception):
-                    log.error("the term ended by an error", exc_info=result)
-                    # Give the others a turn rather than fail at once again.
+                    log.error(
+                        "leadership: term %d ended by an error", leader_term.term, exc_info=result
+                    )
+                    # Another controller should lead: here the next term might fail as well.
                     self.backoff_until = self.loop.time() + constants.RESIGN_BACKOFF_S
-            log.info("no longer leading term %d", leader_term.term)
-
-    async def _renew(self, leader_term: LeaderTerm) -> None:
-        """Renew until the lease is gone; an outage is waited out, in the same term."""
-        silent = False
-        while True:
-            sent = self.loop.time()
-            try:
-                await self.store.renew_lease(leader_term.lease_id, constants.LEADER_RENEW_S)
-                leader_term.lease.record_renewal(sent)
-                if silent:
-                    log.info("the lease of term %d is alive again", leader_term.term)
-                    silent = False
-                pause = constants.LEADER_RENEW_S
-            except LeaseExpiredError:
-                log.info("the lease of term %d is gone", leader_term.term)
-                return
-            except StoreError as exc:
-                if not silent and not leader_term.lease.is_valid(self.loop.time()):
-                    log.info("standing still, the lease cannot be renewed: %s", exc)
-                    silent = True
-                pause = constants.STORE_RETRY_S
-            await asyncio.sleep(pause)
-
-    async def resign(self, why: str) -> None:
-        """Give the lead up and stand back, since another controller can do better."""
-        if self.leader_term is None:
-            return
-        log.info("resigning: %s", why)
-        self.backoff_until = self.loop.time() + constants.RESIGN_BACKOFF_S
-        lease_id = self.leader_term.lease_id
-        self.leader_term.lease.until = 0.0
-        self.step_down()
-        await self._end(lease_id)
+            log.info("leadership: no longer leading in term %d", leader_term.term)
