--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -27,6 +27,7 @@
 from peathall.http.server import HttpServer
 from peathall.jobs.follower import FollowerService
 from peathall.jobs.service import RETRY_LATER, JobResponse
+from peathall.leader.context import ControllerContext
 from peathall.leader.term import Leader
 from peathall.leadership.election import Election, LeaderTerm
 from peathall.operator_config.settings import Operator
@@ -168,19 +169,18 @@
 
     # --- leading -------------------------------------------------------------
     async def _lead(self, leader_term: LeaderTerm) -> None:
-        leader = Leader(
-            self.settings,
-            self.operator,
-            self.store,
-            self.cloud,
-            leader_term,
-            self.election.is_leader,
-            self.election.step_down,
-            self.wall,
-            lambda: self.peers.heartbeats_elsewhere(self.loop.time()),
-            self.duties,
-            self.rng,
+        context = ControllerContext(
+            settings=self.settings,
+            operator=self.operator,
+            store=self.store,
+            cloud=self.cloud,
+            leadership=self.election,
+            heartbeats_elsewhere=lambda: self.peers.heartbeats_elsewhere(self.loop.time()),
+            wall=self.wall,
+            rng=self.rng,
+            duties=self.duties,
         )
+        leader = Leader(leader_term, context)
         self.leader = leader
         try:
             await leader.run()
--- a/peathall/leader/__init__.py
+++ b/peathall/leader/__init__.py
@@ -1,1 +1,1 @@
-"""One term of a leader: its slices, wired over one ClusterState."""
+"""What a controller does only while it leads: one term, from recovery to its end."""
