--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -104,7 +104,7 @@
         """Recover handoffs after failover, after the records of jobs were read."""
         self.home.load(records.handoffs, self.clock())
 
-    async def take_over(self) -> None:
+    async def request_leases(self) -> None:
         """Before this leader serves: request the leases on what is borrowed, once."""
         homes = [name for name in self.borrower.counts() if name in self.cells]
         if homes:
