--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -12,7 +12,7 @@
 from peathall.cluster.machine import Machine
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
-from peathall.protocol.heartbeats import Heartbeat, decode_heartbeat
+from peathall.protocol.heartbeats import COMMANDS_PATH, Heartbeat, decode_heartbeat
 from peathall.store.token_bucket import TokenBucket
 
 log = logging.getLogger("peathall.workers")
@@ -69,7 +69,7 @@
         if message is None or not self.is_leader():
             return
         status, raw = await self._client(machine.addr).request(
-            "POST", "/commands", codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
+            "POST", COMMANDS_PATH, codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
         )
         if status != 200:
             log.info("direct orders to %s refused: %d", machine.name, status)
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -15,15 +15,16 @@
 from peathall.config.platform import WorkerSettings
 from peathall.leadership.lease import fencing_token
 from peathall.protocol.heartbeats import (
+    Command,
     ExitReason,
+    ForgetCommand,
     Heartbeat,
+    StartCommand,
+    StopCommand,
     TaskState,
     TaskStatus,
     encode_commands,
     encode_heartbeat_response,
-    forget_command,
-    start_command,
-    stop_command,
 )
 from peathall.workers.delivery import CommandDelivery
 from peathall.workers.events import WorkerListener
@@ -351,17 +352,17 @@
         """How many tasks its next report will name: those it has, and ends not yet forgotten."""
         return len(machine.attempts) + len(self.exits.of(machine.name))
 
-    def _commands(self, machine: Machine, now: float, direct: bool) -> list[dict[str, Any]]:
+    def _commands(self, machine: Machine, now: float, direct: bool) -> list[Command]:
         commands = self._attempt_commands(machine, now, direct)
         if not direct:
             commands += self._forget_commands(machine, constants.MACHINE_TASKS - len(commands))
             unknown = self.unknown_tasks.get(machine.name, ())
-            commands += [stop_command(*task, 0.0) for task in unknown]
+            commands += [StopCommand(*task, 0.0) for task in unknown]
         return commands
 
-    def _attempt_commands(self, machine: Machine, now: float, direct: bool) -> list[dict[str, Any]]:
+    def _attempt_commands(self, machine: Machine, now: float, direct: bool) -> list[Command]:
         """Starts and stops that are due; at most as many as an answer may hold."""
-        commands: list[dict[str, Any]] = []
+        commands: list[Command] = []
         usable = machine.confirmed and machine.phase in (MachinePhase.UP, MachinePhase.DRAINING)
         usable = usable and machine.unacknowledged_since is None
         for (job_id, task), attempt in machine.attempts.items():
@@ -372,9 +373,9 @@
             if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.GONE):
                 continue
             if attempt.stopping:
-                commands.append(stop_command(job_id, task, attempt.number, attempt.grace_s))
+                commands.append(StopCommand(job_id, task, attempt.number, attempt.grace_s))
             elif usable and self._may_start(attempt):
-                commands.append(start_command(job_id, task, attempt.number))
+                commands.append(StartCommand(job_id, task, attempt.number))
                 attempt.enter(AttemptPhase.SENT, now)
                 attempt.epoch = machine.epoch
                 if direct:
@@ -391,11 +392,11 @@
         )
         return early and wanted and self._own(attempt)
 
-    def _forget_commands(self, machine: Machine, most: int) -> list[dict[str, Any]]:
+    def _forget_commands(self, machine: Machine, most: int) -> list[ForgetCommand]:
         """For ended attempts that their machine need not report any more."""
         # Under our own token, the next tick raises it.
         known = islice(self.exits.forgettable(machine.name, self.fencing_token), max(0, most))
-        return [forget_command(x.job, x.task, x.number) for x in known]
+        return [ForgetCommand(x.job, x.task, x.number) for x in known]
 
     def commands_due(self, machine: Machine) -> dict[str, Any] | None:
         """The orders that are due now, or None."""
--- a/tests/unit/test_wire.py
+++ b/tests/unit/test_protocol.py
@@ -76,7 +76,7 @@
         codec.cbor_map(raw)
 
 
-def test_reports_are_translated() -> None:
+def test_heartbeats_are_translated() -> None:
     report = decode_heartbeat(
         {
             "hall": "m-1", "endpoint": "10.1.0.2:9000", "build": "g8", "ward": "a",
@@ -98,6 +98,6 @@
 @pytest.mark.parametrize(
     "task", [{"parcel": "x", "try": 1, "standing": "running"}, {"parcel": "j-1/0", "try": 1}]
 )
-def test_garbled_reports_are_malformed(task: dict[str, Any]) -> None:
+def test_invalid_heartbeats_are_malformed(task: dict[str, Any]) -> None:
     with pytest.raises(codec.MalformedError):
         decode_heartbeat({"hall": "m-1", "tenure": 1, "tick": 1, "parcels": [task]})
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -39,11 +39,12 @@
 from peathall.operator_config.settings import Operator
 from peathall.protocol.cloud import machine_type_from_wire, machine_type_to_wire
 from peathall.protocol.heartbeats import (
+    Command,
+    ForgetCommand,
+    StartCommand,
+    StopCommand,
     encode_commands,
     encode_heartbeat_response,
-    forget_command,
-    start_command,
-    stop_command,
 )
 from peathall.protocol.jobs import JobStatus, encode_job_status, spec_to_record
 from peathall.store import client as store
@@ -672,11 +673,11 @@
 FORGET = {"writ": "forget", "parcel": "j-000398/0", "try": 3}
 
 
-def writs() -> list[dict[str, Any]]:
+def writs() -> list[Command]:
     return [
-        start_command("j-000412", 4, 2),
-        stop_command("j-000377", 1, 1, 10.0),
-        forget_command("j-000398", 0, 3),
+        StartCommand("j-000412", 4, 2),
+        StopCommand("j-000377", 1, 1, 10.0),
+        ForgetCommand("j-000398", 0, 3),
     ]
 
 
