--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -279,7 +279,7 @@
         response = await self._answer_heartbeat(request)
         # More workers than sockets: they take turns, and users are not displaced. Throwing out
         # idle connections instead would now and then cut off a report on its way.
-        response.close = self.api.crowded
+        response.close = self.api.near_limit
         return response
 
     async def _answer_heartbeat(self, request: Request) -> Response:
--- a/peathall/http/client.py
+++ b/peathall/http/client.py
@@ -11,24 +11,24 @@
 
 
 class NoAnswerError(Exception):
-    """No usable answer. `sent` tells whether the request may have been carried out."""
+    """A request got no usable response. If `sent`, the server may have carried it out."""
 
-    def __init__(self, why: str, sent: bool) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, sent: bool) -> None:
+        super().__init__(reason)
         self.sent = sent
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection to a server."""
+    """A connection to a server, with at most one request in flight."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser: httptools.HttpResponseParser | None = None
-        self.answer: asyncio.Future[tuple[int, bytes]] | None = None
+        self.response: asyncio.Future[tuple[int, bytes]] | None = None
         self.body: list[bytes] = []
         self.closed = False
-        self.reusable = True
-        self.idle_since = 0.0
+        self.reusable = True  # the server keeps the connection open after its response
+        self.idle_since = 0.0  # loop time
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """asyncio: connected."""
@@ -40,9 +40,9 @@
         self.closed = True
         self._fail("connection lost")
 
-    def _fail(self, why: str) -> None:
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_exception(NoAnswerError(why, sent=True))
+    def _fail(self, reason: str) -> None:
+        if self.response is not None and not self.response.done():
+            self.response.set_exception(NoAnswerError(reason, sent=True))
 
     def data_received(self, data: bytes) -> None:
         """asyncio: bytes have arrived."""
@@ -60,30 +60,36 @@
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        """httptools: the answer is complete."""
+        """httptools: the response is complete."""
         assert self.parser is not None
         self.reusable = self.parser.should_keep_alive()
-        if self.answer is not None and not self.answer.done():
-            self.answer.set_result((self.parser.get_status_code(), b"".join(self.body)))
+        if self.response is not None and not self.response.done():
+            self.response.set_result((self.parser.get_status_code(), b"".join(self.body)))
 
     def send(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
-        """Send a request; the future gives status and body."""
+        """Send an encoded request. The future gives status and body of the response, or
+        NoAnswerError."""
         assert self.transport is not None
         self.parser = httptools.HttpResponseParser(self)
         self.body = []
-        self.answer = asyncio.get_running_loop().create_future()
+        self.response = asyncio.get_running_loop().create_future()
         self.transport.write(data)
-        return self.answer
+        return self.response
 
     def abort(self) -> None:
-        """End the connection."""
+        """End the connection at once; whatever is in flight fails through `connection_lost`."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class HttpClient:
-    """Requests to one address over kept connections, one request at a time on each."""
+    """Requests to one address over a pool of connections, one request at a time on each.
+
+    `keep` is the number of idle connections that are kept for later requests. `may_send` is asked
+    again right before a request is written: connecting takes time, and a leader whose lease has
+    expired meanwhile must not send any more. There is no limit for requests in flight.
+    """
 
     def __init__(
         self,
@@ -100,7 +106,7 @@
         self.keep = keep
         self.may_send = may_send
         self.idle: list[ClientConnection] = []
-        self.busy = 0  # requests under way
+        self.in_flight = 0  # requests
 
     async def _connect(self, timeout: float) -> ClientConnection:
         loop = asyncio.get_running_loop()
@@ -111,23 +117,24 @@
                 return connection
             connection.abort()
         try:
-            _, made = await asyncio.wait_for(
+            _, connection = await asyncio.wait_for(
                 loop.create_connection(ClientConnection, self.host, self.port), timeout
             )
         except (OSError, TimeoutError) as exc:
-            why = f"cannot connect to {self.addr}: {exc or 'timeout'}"
-            raise NoAnswerError(why, sent=False) from None
-        return made
+            reason = f"cannot connect to {self.addr}: {exc or 'timeout'}"
+            raise NoAnswerError(reason, sent=False) from None
+        return connection
 
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout: float = 5.0
     ) -> tuple[int, bytes]:
-        """Status and body of the answer, or NoAnswerError."""
-        self.busy += 1
+        """Status and body of the response. `timeout` (s) holds for connecting, which has a limit of
+        its own as well, and again for the response. NoAnswerError if there is none."""
+        self.in_flight += 1
         try:
             return await self._request(method, path, body, timeout)
         finally:
-            self.busy -= 1
+            self.in_flight -= 1
 
     async def _request(
         self, method: str, path: str, body: bytes, timeout: float
@@ -138,15 +145,16 @@
         )
         connection = await self._connect(min(constants.CONNECT_S, timeout))
         if not self.may_send():
-            # Whoever asked for it may have stood still since: it must not leave after that.
+            # The process may have been suspended since the caller checked its lease.
             connection.abort()
             raise NoAnswerError("no longer entitled to send", sent=False)
         try:
-            answer = await asyncio.wait_for(connection.send(head.encode() + body), timeout)
+            response = await asyncio.wait_for(connection.send(head.encode() + body), timeout)
         except TimeoutError:
             connection.abort()
             raise NoAnswerError(f"no answer from {self.addr}", sent=True) from None
         except BaseException:
+            # Cancellation too: the response may still come, and must not answer a later request.
             connection.abort()
             raise
         if connection.reusable and not connection.closed and len(self.idle) < self.keep:
@@ -154,10 +162,11 @@
             self.idle.append(connection)
         else:
             connection.abort()
-        return answer
+        return response
 
     def close(self) -> None:
-        """End the connections that are not in use."""
+        """Close the idle connections. One with a request in flight stays open until it has its
+        response, and is then pooled as usual."""
         for connection in self.idle:
             connection.abort()
         self.idle.clear()
--- a/peathall/http/message.py
+++ b/peathall/http/message.py
@@ -2,21 +2,27 @@
 
 from __future__ import annotations
 
-REASONS = {
-    200: "OK",
-    201: "Created",
-    400: "Bad Request",
-    404: "Not Found",
-    405: "Method Not Allowed",
-    409: "Conflict",
-    421: "Misdirected Request",
-    422: "Unprocessable Content",
-    429: "Too Many Requests",
-    500: "Internal Server Error",
-    503: "Service Unavailable",
-    504: "Gateway Timeout",
+from http import HTTPStatus
+
+# Not HTTPStatus.phrase: it differs between versions of Python (422), and the bytes must not.
+REASONS: dict[int, str] = {
+    HTTPStatus.OK: "OK",
+    HTTPStatus.CREATED: "Created",
+    HTTPStatus.BAD_REQUEST: "Bad Request",
+    HTTPStatus.NOT_FOUND: "Not Found",
+    HTTPStatus.METHOD_NOT_ALLOWED: "Method Not Allowed",
+    HTTPStatus.CONFLICT: "Conflict",
+    HTTPStatus.MISDIRECTED_REQUEST: "Misdirected Request",
+    HTTPStatus.UNPROCESSABLE_ENTITY: "Unprocessable Content",
+    HTTPStatus.TOO_MANY_REQUESTS: "Too Many Requests",
+    HTTPStatus.INTERNAL_SERVER_ERROR: "Internal Server Error",
+    HTTPStatus.SERVICE_UNAVAILABLE: "Service Unavailable",
+    HTTPStatus.GATEWAY_TIMEOUT: "Gateway Timeout",
 }
 
+# With plain numbers as keys: most responses come with them, and the lookup is faster.
+_STATUS_LINES = {int(status): f"HTTP/1.1 {status:d} {REASONS[status]}" for status in REASONS}
+
 
 class Request:
     """A request as it was received."""
@@ -25,8 +31,8 @@
 
     def __init__(self, method: str, path: str, query: str, body: bytes) -> None:
         self.method = method
-        self.path = path
-        self.query = query
+        self.path = path  # without the query, and with its percent-encoding decoded
+        self.query = query  # as received
         self.body = body
 
 
@@ -43,16 +49,17 @@
         retry_after: int | None = None,
         close: bool = False,
     ) -> None:
-        self.status = status
+        self.status = status  # an HTTPStatus or its number
         self.body = body
         self.content_type = content_type
-        self.retry_after = retry_after
-        self.close = close
+        self.retry_after = retry_after  # s, after which the client may repeat its request
+        self.close = close  # the connection ends with this response
 
     def encode(self) -> bytes:
         """The bytes on the wire."""
+        status_line = _STATUS_LINES.get(self.status) or f"HTTP/1.1 {self.status:d} Status"
         head = (
-            f"HTTP/1.1 {self.status} {REASONS.get(self.status, 'Status')}\r\n"
+            f"{status_line}\r\n"
             f"Content-Type: {self.content_type}\r\nContent-Length: {len(self.body)}\r\n"
         )
         if self.retry_after is not None:
--- a/peathall/http/request_queue.py
+++ b/peathall/http/request_queue.py
@@ -1,4 +1,4 @@
-"""Whose request is served next when more arrive than can be served at once."""
+"""Admission of requests under overload: weighted round robin over classes, with a maximum wait."""
 
 from __future__ import annotations
 
@@ -7,58 +7,80 @@
 from enum import IntEnum
 from itertools import cycle
 
+from msgspec import Struct
+
 from peathall import constants
 
 
 class RequestClass(IntEnum):
-    """What matters most comes first. Renewals, health and pings wait for nobody."""
+    """Classes of requests in order of precedence. Health checks and the pings of other controllers
+    are not queued."""
 
-    HEARTBEAT = 0  # a worker that hears nothing loses its tasks
+    HEARTBEAT = 0  # without a response in time a worker's lease expires, and its tasks are lost
     WRITE = 1  # a submission or a cancellation
-    QUERY = 2
+    QUERY = 2  # a question for the status of a job
 
 
-LIMITS = {
+MAX_WAIT_S = {
     RequestClass.HEARTBEAT: constants.HEARTBEAT_QUEUE_S,
     RequestClass.WRITE: constants.WRITE_QUEUE_S,
     RequestClass.QUERY: constants.QUERY_QUEUE_S,
 }
 
+# Heartbeats get every second slot; an empty class leaves its slot to the first that is not empty.
+SLOT_CYCLE = (
+    RequestClass.HEARTBEAT,
+    RequestClass.WRITE,
+    RequestClass.HEARTBEAT,
+    RequestClass.QUERY,
+)
+
+
+class QueuedRequest(Struct):
+    """A request that waits for its admission."""
+
+    admission: asyncio.Future[bool]
+    deadline: float  # loop time from which its sender does not wait any more
+
 
 class RequestQueue:
-    """One request for each pass of the event loop while any wait: what else is due, above all
-    the renewal of the lead, comes between two of them and not behind all of them."""
+    """Admits one request for each pass of the event loop while any are queued, so that whatever
+    else is due, above all the renewal of the leader lease, runs between two of them and not behind
+    all of them. A request that arrives while none is queued is admitted without a wait."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.waiting: list[deque[tuple[asyncio.Future[bool], float]]] = [
-            deque() for _ in RequestClass
-        ]
-        self.passing = False  # somebody has the turn of this pass
-        self.order = cycle(
-            (RequestClass.HEARTBEAT, RequestClass.WRITE, RequestClass.HEARTBEAT, RequestClass.QUERY)
-        )
-
-    async def admit(self, rank: RequestClass) -> bool:
-        """False if the request's time is over: its sender has no use for an answer any more."""
-        if not self.passing:
-            self.passing = True
-            self.loop.call_soon(self._next)
+        self.queues: list[deque[QueuedRequest]] = [deque() for _ in RequestClass]
+        self.slot_taken = False  # a request was admitted in this pass of the event loop
+        self.slots = cycle(SLOT_CYCLE)
+
+    async def admit(self, request_class: RequestClass) -> bool:
+        """Wait until the request may be handled. False if its maximum wait has passed: its sender
+        has given up, and handling it would only delay others."""
+        if not self.slot_taken:
+            self.slot_taken = True
+            self.loop.call_soon(self._admit_next)
             return True
-        admit: asyncio.Future[bool] = self.loop.create_future()
-        self.waiting[rank].append((admit, self.loop.time() + LIMITS[rank]))
-        return await admit
+        admission: asyncio.Future[bool] = self.loop.create_future()
+        deadline = self.loop.time() + MAX_WAIT_S[request_class]
+        self.queues[request_class].append(QueuedRequest(admission, deadline))
+        return await admission
+
+    def _admit_next(self) -> None:
+        """Once per pass of the event loop, from the first admission until all queues are empty."""
+        self._drop_expired()
+        self.slot_taken = any(self.queues)
+        if self.slot_taken:
+            queue = self.queues[next(self.slots)] or next(filter(None, self.queues))
+            queue.popleft().admission.set_result(True)
+            self.loop.call_soon(self._admit_next)
 
-    def _next(self) -> None:
+    def _drop_expired(self) -> None:
+        """Drop from the heads of the queues what has waited too long, or whose handler was
+        cancelled."""
         now = self.loop.time()
-        for queue in self.waiting:
-            while queue and (queue[0][1] < now or queue[0][0].done()):
-                admit, _ = queue.popleft()
-                if not admit.done():
-                    admit.set_result(False)
-        self.passing = any(self.waiting)
-        if self.passing:
-            # Each has turns, however many come before it; what it leaves goes to the first.
-            line = self.waiting[next(self.order)] or next(filter(None, self.waiting))
-            line.popleft()[0].set_result(True)
-            self.loop.call_soon(self._next)
+        for queue in self.queues:
+            while queue and (queue[0].deadline < now or queue[0].admission.done()):
+                admission = queue.popleft().admission
+                if not admission.done():
+                    admission.set_result(False)
--- a/peathall/http/server.py
+++ b/peathall/http/server.py
@@ -6,6 +6,7 @@
 import logging
 from collections.abc import Awaitable, Callable
 from enum import Enum, auto
+from http import HTTPStatus
 from urllib.parse import unquote
 
 import httptools
@@ -15,45 +16,50 @@
 
 log = logging.getLogger("peathall.http")
 
+MAX_HEADERS = 16 * 1024  # bytes; beside the body of the largest request
 
 Handler = Callable[[Request], Awaitable[Response]]
 
 
 class ConnectionPhase(Enum):
-    """A caller's connection: one request at a time."""
+    """Phase of a client's connection, which carries one request at a time."""
 
     IDLE = auto()  # between requests
     READING = auto()  # a request is arriving
-    SERVING = auto()  # the handler is at work
+    SERVING = auto()  # the handler runs
     CLOSED = auto()
 
 
 class ServerConnection(asyncio.Protocol):
-    """One caller. Garbage ends this connection and touches no other."""
+    """The connection of one client. An invalid request ends it, and affects no other.
+
+    A handler runs to its end even if the client disconnects: a submission that is half committed
+    is completed. Its task is referenced by this connection, and ends with the handler.
+    """
 
     def __init__(self, server: HttpServer) -> None:
         self.server = server
         self.phase = ConnectionPhase.IDLE
-        self.since = 0.0
+        self.phase_since = 0.0  # loop time
         self.transport: asyncio.Transport | None = None
         self.task: asyncio.Task[None] | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.url = b""
         self.body: list[bytes] = []
-        self.size = 0
-        self.backlog: list[bytes] = []
+        self.size = 0  # bytes of the request so far, headers included
+        self.pipelined: list[bytes] = []  # received while the handler runs
 
     def _enter(self, phase: ConnectionPhase) -> None:
         if self.phase is not ConnectionPhase.CLOSED:
             self.phase = phase
-            self.since = self.server.loop.time()
+            self.phase_since = self.server.loop.time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: a caller has connected."""
+        """asyncio: a client has connected."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         self._enter(ConnectionPhase.IDLE)
-        self.server.admit(self)
+        self.server.register(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """asyncio: the connection is gone."""
@@ -61,7 +67,7 @@
         self.server.connections.pop(self, None)
 
     def close(self) -> None:
-        """End the connection."""
+        """End the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -70,32 +76,29 @@
         if self.phase is ConnectionPhase.CLOSED:
             return
         if self.phase is ConnectionPhase.SERVING:
-            # Requests are not pipelined; a caller that does it anyway is served
-            # in order, within the size of one request.
-            self.backlog.append(data)
-            if sum(map(len, self.backlog)) > constants.MAX_BODY:
+            # Our clients do not pipeline; one that does is served in order, within the size of
+            # one request.
+            self.pipelined.append(data)
+            if sum(map(len, self.pipelined)) > constants.MAX_BODY:
                 self.close()
             return
         if self.phase is ConnectionPhase.IDLE:
             self._enter(ConnectionPhase.READING)
         self.size += len(data)
-        if self.size > constants.MAX_BODY + 16 * 1024:
-            self._refuse(400)
+        if self.size > constants.MAX_BODY + MAX_HEADERS:
+            self._reject(HTTPStatus.BAD_REQUEST)
             return
         try:
             self.parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            self._refuse(400)
-        except httptools.HttpParserError:
-            self._refuse(400)
+        except (httptools.HttpParserUpgrade, httptools.HttpParserError):
+            self._reject(HTTPStatus.BAD_REQUEST)
 
-    def _refuse(self, status: int) -> None:
+    def _reject(self, status: HTTPStatus) -> None:
         if self.transport is not None and self.phase is not ConnectionPhase.CLOSED:
             self.transport.write(Response(status, close=True).encode())
             self.transport.close()
         self._enter(ConnectionPhase.CLOSED)
 
-    # httptools callbacks
     def on_message_begin(self) -> None:
         """httptools: a request begins."""
         self.url = b""
@@ -116,20 +119,21 @@
         body = b"".join(self.body)
         path, _, query = self.url.decode("latin-1").partition("?")
         request = Request(self.parser.get_method().decode("latin-1"), unquote(path), query, body)
-        keep = self.parser.should_keep_alive()
+        keep_alive = self.parser.should_keep_alive()
         self._enter(ConnectionPhase.SERVING)
-        self.task = self.server.loop.create_task(self._serve(request, keep))
+        self.task = self.server.loop.create_task(self._serve(request, keep_alive))
 
-    async def _serve(self, request: Request, keep: bool) -> None:
+    async def _serve(self, request: Request, keep_alive: bool) -> None:
         if len(request.body) > constants.MAX_BODY:
-            response = Response(400, close=True)
+            response = Response(HTTPStatus.BAD_REQUEST, close=True)
         else:
             try:
                 response = await self.server.handler(request)
             except Exception:
+                # Last line of defence: a fault in a handler fails its own request only.
                 log.exception("request %s %s failed", request.method, request.path)
-                response = Response(500)
-        if not keep:
+                response = Response(HTTPStatus.INTERNAL_SERVER_ERROR)
+        if not keep_alive:
             response.close = True
         if self.phase is ConnectionPhase.CLOSED or self.transport is None:
             return
@@ -140,29 +144,30 @@
             return
         self.size = 0
         self._enter(ConnectionPhase.IDLE)
-        waiting, self.backlog = self.backlog, []
-        for data in waiting:
+        pipelined, self.pipelined = self.pipelined, []
+        for data in pipelined:
             self.data_received(data)
 
 
 class HttpServer:
-    """Listens on one address; keeps idle and slow callers from using up the sockets."""
+    """Listens on one address. Closes idle and slow connections, so that they do not use up the
+    sockets; beyond `max_connections` the one that has been idle for longest is closed."""
 
     def __init__(self, handler: Handler, max_connections: int) -> None:
         self.handler = handler
         self.max_connections = max_connections
-        self.connections: dict[ServerConnection, None] = {}  # ordered: oldest first
+        self.connections: dict[ServerConnection, None] = {}  # a set in order of arrival
         self.loop = asyncio.get_running_loop()
         self._server: asyncio.Server | None = None
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Listen on the address; OSError if that is not possible."""
         self._server = await self.loop.create_server(
             lambda: ServerConnection(self),
             host,
             port,
-            # After a take-over all workers connect within a second.
+            # After a failover all workers connect within a second.
             backlog=self.max_connections,
             reuse_address=True,
         )
@@ -175,33 +180,35 @@
         return int(self._server.sockets[0].getsockname()[1])
 
     @property
-    def crowded(self) -> bool:
-        """Callers who can as well connect anew for every request should do so."""
+    def near_limit(self) -> bool:
+        """Few connections are left: clients that can cheaply reconnect should not keep theirs."""
         return len(self.connections) > constants.CROWDED_SHARE * self.max_connections
 
-    def admit(self, connection: ServerConnection) -> None:
-        """A new caller; beyond the limit the idlest one has to go."""
+    def register(self, connection: ServerConnection) -> None:
+        """Count a new connection. Beyond the limit, that which is longest in its phase is closed,
+        unless its request is being served."""
         self.connections[connection] = None
         if len(self.connections) > self.max_connections:
-            idle = [x for x in self.connections if x.phase is not ConnectionPhase.SERVING]
-            oldest = min(idle or [connection], key=lambda x: x.since)
+            evictable = [x for x in self.connections if x.phase is not ConnectionPhase.SERVING]
+            oldest = min(evictable or [connection], key=lambda x: x.phase_since)
             self.connections.pop(oldest, None)
             oldest.close()
 
     def _sweep(self) -> None:
+        """Close idle and slow connections, again and again by a timer that `close` cancels."""
         now = self.loop.time()
         for connection in list(self.connections):
-            age = now - connection.since
+            age = now - connection.phase_since
             if (connection.phase is ConnectionPhase.IDLE and age > constants.IDLE_CONNECTION_S) or (
                 connection.phase is ConnectionPhase.READING and age > constants.SLOW_REQUEST_S
             ):
                 connection.close()
-        self._sweeper = self.loop.call_later(constants.SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(constants.SWEEP_S, self._sweep)
 
     def close(self) -> None:
-        """Stop listening, and end all connections."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        """Stop listening, and end all connections at once."""
+        if self._sweep_timer is not None:
+            self._sweep_timer.cancel()
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -83,7 +83,9 @@
         if client is None:
             client = self._clients[addr] = HttpClient(addr, keep=1, may_send=self.is_leader)
         self._clients.move_to_end(addr)
-        unused = [a for a, other in self._clients.items() if not other.busy and other is not client]
+        unused = [
+            a for a, other in self._clients.items() if not other.in_flight and other is not client
+        ]
         for other in unused[: max(0, len(self._clients) - self.connections)]:
             self._clients.pop(other).close()
         return client
--- a/tests/unit/test_protocol.py
+++ b/tests/unit/test_protocol.py
@@ -1,11 +1,13 @@
 """Malformed bodies, the limits of fields, and words that are not known."""
 
 import math
+from http import HTTPStatus
 from typing import Any
 
 import cbor2
 import pytest
 
+from peathall.http.message import REASONS, Response
 from peathall.protocol import codec
 from peathall.protocol.cloud import (
     MachineState,
@@ -178,3 +180,10 @@
 )
 def test_no_capacity_is_told_from_trouble(raw: Any, expected: bool) -> None:
     assert is_capacity_error(raw) is expected
+
+
+@pytest.mark.parametrize("status", [*REASONS, HTTPStatus.FORBIDDEN])
+def test_a_status_is_written_as_its_number(status: int) -> None:
+    raw = Response(status).encode()
+    assert raw == Response(int(status)).encode()
+    assert raw.startswith(b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, "Status").encode()))
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -72,7 +72,7 @@
         self.answers = list(answers)
         self.kind = kind
         self.calls: list[tuple[str, str, bytes]] = []
-        self.busy = False
+        self.in_flight = 0
 
     async def request(
         self, method: str, path: str, body: bytes, timeout: float
