--- a/peathall/config/__init__.py
+++ b/peathall/config/__init__.py
@@ -1,1 +1,1 @@
-"""The settings file of the platform: sections, bounds, parsing."""
+"""The settings file of the platform: its sections and their bounds, parsing and checks."""
--- a/peathall/config/modes.py
+++ b/peathall/config/modes.py
@@ -1,4 +1,4 @@
-"""How a controller takes part in a feature that operators switch on and off."""
+"""How a controller takes part in an optional feature."""
 
 from __future__ import annotations
 
@@ -6,8 +6,9 @@
 
 
 class Mode(Enum):
-    """A controller's part in a feature, as its operator has set it."""
+    """How a controller takes part in an optional feature; the values are those of the operators'
+    file."""
 
-    OFF = "off"  # knows nothing of it, and does not lead while the others have it on
+    OFF = "off"  # does not take part, and does not lead while others have it on
     ON = "on"
-    RETIRING = "retiring"  # finishes what is outstanding and begins nothing new
+    RETIRING = "retiring"  # completes what is outstanding and begins nothing new
--- a/peathall/config/platform.py
+++ b/peathall/config/platform.py
@@ -1,4 +1,9 @@
-"""The platform's settings file (TOML) and the operators' own (protobuf text format)."""
+"""The platform's settings file (TOML): its sections, their bounds, and the checks across sections.
+
+Field names are those of the file, or have theirs as the encoded name. Names in `_s` are seconds, in
+`_ms` milliseconds, in `_kb` and `_mb` KiB and MiB; `rps` is requests per second. What the file has
+beyond these fields is ignored.
+"""
 
 from __future__ import annotations
 
@@ -18,58 +23,59 @@
 
 
 class Peer(Struct, frozen=True):
-    """Another controller."""
+    """Section `known`: another controller of this site."""
 
     name: Name = field(name="member")
     zone: str = field(name="location")
-    addr: Address = field(name="endpoint")
+    addr: Address = field(name="endpoint")  # its `back`
 
 
 class Services(Struct, frozen=True):
-    """Addresses of the cloud and of the state service."""
+    """Section `services`: addresses of the cloud and of the state service."""
 
     cloud: Address
     state: Address
 
 
 class Team(Struct, frozen=True):
-    """A team's guarantee and limit; 0 means none."""
+    """Section `params.teams`: the quota of a team. 0 means nothing guaranteed, or no limit."""
 
     name: Name
-    cpus: NotNegative = 0.0
-    cpus_max: NotNegative = 0.0
-    gpus: NotNegative = 0.0
-    gpus_max: NotNegative = 0.0
+    cpus: NotNegative = 0.0  # guaranteed
+    cpus_max: NotNegative = 0.0  # limit
+    gpus: NotNegative = 0.0  # guaranteed
+    gpus_max: NotNegative = 0.0  # limit
 
 
 class Objective(Struct, frozen=True):
-    """An aim for a class of jobs."""
+    """Section `params.objectives`: a service-level objective for a class of jobs."""
 
-    kind: str
-    class_name: str | None = field(name="class", default=None)
-    within_s: float | None = None
-    share: float | None = None
-    times: float | None = None
+    kind: str  # "wait", "finished" and "deadline" have an effect on placement (placement/ordering)
+    class_name: str | None = field(name="class", default=None)  # of the jobs; without it, of none
+    within_s: float | None = None  # from submission to start (wait) or to the end (finished)
+    share: float | None = None  # of the jobs that should meet it; not used here
+    times: float | None = None  # the job's own deadline may take so many times as long
 
 
 class WorkerSettings(Struct, frozen=True):
-    """Times that the workers keep to."""
+    """Section `params.workers`: times that the workers keep to."""
 
-    report_s: Positive
-    lease_s: Positive
-    gang_wait_s: Positive
-    gang_peer_s: Positive
-    cancel_s: Positive
+    report_s: Positive  # interval of a worker's heartbeats
+    lease_s: Positive  # without a response for so long, a worker kills its tasks
+    gang_wait_s: Positive  # a task waits so long for its gang to become complete
+    gang_peer_s: Positive  # within which the tasks of a gang notice that one of them is gone
+    cancel_s: Positive  # within which no task of a cancelled job may run any more
 
     @property
     def lease_expiry_s(self) -> float:
-        """So long after the last answer that may have renewed its lease, a worker surely has no
-        tasks any more, however its clock runs."""
+        """Time after the last response that may have renewed a worker's lease until it certainly
+        has no tasks any more, whatever the drift of its clock; s."""
         return self.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
 
 
 class NextLimits(Struct, frozen=True):
-    """What the state service will allow from some moment on, without notice."""
+    """Section `params.state.next`: limits that the state service will have from a moment on that
+    is not announced; None: unchanged."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -78,113 +84,133 @@
 
 
 class StateSettings(Struct, frozen=True):
-    """Limits of the state service."""
+    """Section `params.state`: limits of the state service."""
 
-    rps: Positive
-    write_rps: Positive
-    value_kb: Positive
-    txn_ops: Annotated[int, Meta(ge=4)]
+    rps: Positive  # requests per second
+    write_rps: Positive  # puts and deletes per second; a burst is worth one second
+    value_kb: Positive  # size of a value
+    txn_ops: Annotated[int, Meta(ge=4)]  # puts and deletes in one transaction
     next: NextLimits | None = None
 
     @property
     def changes_at_once(self) -> int:
-        """Puts and drops in one transaction: the service takes no more of them, and refuses for
-        ever what is more than a burst, which is worth one second."""
+        """Largest number of puts and deletes in one transaction: the service takes no more of them,
+        and never accepts more than its rate limit's burst, which is worth one second."""
         return max(constants.MIN_TRANSACTION_OPS, min(self.txn_ops, int(self.write_rps)))
 
-    def least(self) -> StateSettings:
-        """What holds now and will hold later: the moment of the change is not told."""
+    def lowest(self) -> StateSettings:
+        """The limits that are kept now and after the announced change, since its moment is not
+        known: of each limit the lower value."""
         if self.next is None:
             return self
-        told = {k: v for k, v in msgspec.structs.asdict(self.next).items() if v is not None}
-        return msgspec.structs.replace(
-            self, next=None, **{k: min(v, getattr(self, k)) for k, v in told.items()}
-        )
+        announced = msgspec.structs.asdict(self.next)
+        lowest = {
+            limit: min(value, getattr(self, limit))
+            for limit, value in announced.items()
+            if value is not None
+        }
+        return msgspec.structs.replace(self, next=None, **lowest)
 
 
 class CloudSettings(Struct, frozen=True):
-    """Limits of the cloud."""
+    """Section `params.cloud`: limits of the cloud."""
 
-    rps: Positive
-    list_lag_s: NotNegative
+    rps: Positive  # requests per second
+    list_lag_s: NotNegative  # the machine list may be so much out of date
 
 
 class Limits(Struct, frozen=True):
-    """Of the machine that a controller runs on."""
+    """Section `params.machine_limits`: what a controller may use of the machine that it runs on."""
 
-    cpu_share: Positive = 1.0
+    cpu_share: Positive = 1.0  # cores
     ram_mb: Positive = 1024.0
-    fd_limit: Annotated[int, Meta(ge=32)] = 1024
+    fd_limit: Annotated[int, Meta(ge=32)] = 1024  # open files and sockets
 
 
 class Params(Struct, frozen=True):
-    """What all controllers of a site have in common."""
+    """Section `params`: what all controllers of a site have in common."""
 
     workers: WorkerSettings
     state: StateSettings
     cloud: CloudSettings
     teams: list[Team]
-    size: Annotated[int, Meta(ge=1)] = 1
+    size: Annotated[int, Meta(ge=1)] = 1  # number of controllers
     zones: list[str] = []
-    clock_off_ms: NotNegative = 0.0
+    clock_off_ms: NotNegative = 0.0  # of clocks; read, but not used here
     objectives: list[Objective] = []
     machine_limits: Limits = Limits()
 
 
 class Settings(Struct, frozen=True):
-    """The platform's settings file."""
+    """The whole settings file of one controller."""
 
     name: Name = field(name="member")
     zone: str = field(name="location")
-    listen: Address = field(name="api_addr")
-    peer_listen: Address = field(name="back")
+    listen: Address = field(name="api_addr")  # for users and workers
+    peer_listen: Address = field(name="back")  # for other controllers
     services: Services
     params: Params
     peers: list[Peer] = field(name="known", default=[])
 
 
 def split_addr(addr: str) -> tuple[str, int]:
-    """Host and port."""
+    """Host and port of an `Address`."""
     host, _, port = addr.rpartition(":")
     return host, int(port)
 
 
-def parse(text: str) -> Settings:
-    """Settings from the text of their file, checked."""
-    try:
-        raw = tomllib.loads(text)
-    except tomllib.TOMLDecodeError as exc:
-        raise SettingsError(f"not TOML: {exc}") from None
-    try:
-        settings = msgspec.convert(raw, Settings)
-    except msgspec.ValidationError as exc:
-        raise SettingsError(str(exc).replace("\n", " ")) from None
+def _check_names(settings: Settings) -> None:
+    """Controllers find each other by name."""
     names = [settings.name, *(peer.name for peer in settings.peers)]
     if len(set(names)) != len(names):
         raise SettingsError("member: two controllers have the same name")
-    workers = settings.params.workers
+
+
+def _check_cancellation(workers: WorkerSettings) -> None:
+    """A machine that no controller can reach keeps the tasks of a cancelled job until its lease
+    expires: a cancellation must have more time than that."""
     if workers.cancel_s <= workers.lease_expiry_s:
-        # A machine that hears nobody keeps the tasks of a cancelled job until its lease ends.
         raise SettingsError(
             f"params.workers.cancel_s: {workers.cancel_s:g} must be more than"
             f" {workers.lease_expiry_s:g}, the longest that a machine cut off keeps its tasks"
             f" (lease_s {workers.lease_s:g})"
         )
-    state = settings.params.state.least()
+
+
+def _check_write_rate(state: StateSettings) -> None:
+    """A transaction of more operations than the rate limit's burst would never be accepted."""
     if state.write_rps < constants.MIN_TRANSACTION_OPS:
         raise SettingsError(
             f"params.state.write_rps: {state.write_rps:g} must be at least"
             f" {constants.MIN_TRANSACTION_OPS}, what the largest indivisible transaction changes"
         )
+
+
+def parse(text: str) -> Settings:
+    """Settings from the text of their file, with the lowest of present and announced limits of the
+    state service; SettingsError if they are not valid."""
+    try:
+        raw = tomllib.loads(text)
+    except tomllib.TOMLDecodeError as exc:
+        raise SettingsError(f"not TOML: {exc}") from None
+    try:
+        settings = msgspec.convert(raw, Settings)
+    except msgspec.ValidationError as exc:
+        raise SettingsError(str(exc).replace("\n", " ")) from None
+    state = settings.params.state.lowest()
+    _check_names(settings)
+    _check_cancellation(settings.params.workers)
+    _check_write_rate(state)
     params = msgspec.structs.replace(settings.params, state=state)
     return msgspec.structs.replace(settings, params=params)
 
 
 def load(path: str | os.PathLike[str]) -> Settings:
-    """Settings from their file, checked."""
+    """Settings from their file; SettingsError, which names the file, if it cannot be read or is not
+    valid."""
     try:
-        with open(path, encoding="utf-8") as handle:
-            return parse(handle.read())
+        with open(path, encoding="utf-8") as file:
+            return parse(file.read())
     except (OSError, UnicodeDecodeError) as exc:
         raise SettingsError(f"cannot read {path}: {exc}") from None
     except SettingsError as exc:
--- a/peathall/operator_config/__init__.py
+++ b/peathall/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' own settings, and the file that holds them."""
+"""The settings that operators make for optional features, and the file that holds them."""
--- a/peathall/operator_config/file.py
+++ b/peathall/operator_config/file.py
@@ -1,10 +1,11 @@
-"""The operators' own settings: protobuf text format, by a schema that is built here.
+"""Reader of the operators' file: protobuf text format, by a schema that is built here.
 
     idle_hold_s: 45
     duties { mode: "on" hold: "renting" hold: "returning" lease_s: 5 }
     cells { name: "north" neighbour { name: "south" controller: "10.0.1.1:8081" } lease_s: 30 }
 
-Imported only by a controller that is given such a file: the library costs start-up time and memory.
+Imported only by a controller that is given such a file: the protobuf library costs start-up time
+and memory.
 """
 
 from __future__ import annotations
@@ -29,69 +30,71 @@
 Field = descriptor_pb2.FieldDescriptorProto
 
 
-def _message(name: str, fields: list[tuple[str, int, int, str]]) -> Any:
-    """A message type of fields: name, type, label, and for a message its type's name."""
-    described = descriptor_pb2.DescriptorProto(name=name)
-    for number, (field, kind, label, type_name) in enumerate(fields, 1):
-        described.field.add(
-            name=field, number=number, type=kind, label=label, type_name=type_name or None
+def _message_type(name: str, fields: list[tuple[str, int, int, str]]) -> Any:
+    """A message type with these fields, numbered from 1: name, type, label, and the type's name of
+    a field that is a message itself."""
+    descriptor = descriptor_pb2.DescriptorProto(name=name)
+    for number, (field, field_type, label, type_name) in enumerate(fields, 1):
+        descriptor.field.add(
+            name=field, number=number, type=field_type, label=label, type_name=type_name or None
         )
-    return described
+    return descriptor
 
 
 def _new_message() -> Message:
     """An empty message of the operators' schema."""
-    once, many = Field.LABEL_OPTIONAL, Field.LABEL_REPEATED
-    described = descriptor_pb2.FileDescriptorProto(name="peathall.proto", package=PACKAGE)
-    described.message_type.append(
-        _message(
+    optional, repeated = Field.LABEL_OPTIONAL, Field.LABEL_REPEATED
+    schema = descriptor_pb2.FileDescriptorProto(name="peathall.proto", package=PACKAGE)
+    schema.message_type.append(
+        _message_type(
             "Duties",
             [
-                ("mode", Field.TYPE_STRING, once, ""),
-                ("hold", Field.TYPE_STRING, many, ""),
-                ("lease_s", Field.TYPE_DOUBLE, once, ""),
+                ("mode", Field.TYPE_STRING, optional, ""),
+                ("hold", Field.TYPE_STRING, repeated, ""),
+                ("lease_s", Field.TYPE_DOUBLE, optional, ""),
             ],
         )
     )
-    described.message_type.append(
-        _message(
+    schema.message_type.append(
+        _message_type(
             "Neighbour",
             [
-                ("name", Field.TYPE_STRING, once, ""),
-                ("controller", Field.TYPE_STRING, many, ""),
+                ("name", Field.TYPE_STRING, optional, ""),
+                ("controller", Field.TYPE_STRING, repeated, ""),
             ],
         )
     )
-    described.message_type.append(
-        _message(
+    schema.message_type.append(
+        _message_type(
             "Cells",
             [
-                ("name", Field.TYPE_STRING, once, ""),
-                ("neighbour", Field.TYPE_MESSAGE, many, f".{PACKAGE}.Neighbour"),
-                ("mode", Field.TYPE_STRING, once, ""),
-                ("lease_s", Field.TYPE_DOUBLE, once, ""),
+                ("name", Field.TYPE_STRING, optional, ""),
+                ("neighbour", Field.TYPE_MESSAGE, repeated, f".{PACKAGE}.Neighbour"),
+                ("mode", Field.TYPE_STRING, optional, ""),
+                ("lease_s", Field.TYPE_DOUBLE, optional, ""),
             ],
         )
     )
-    described.message_type.append(
-        _message(
+    schema.message_type.append(
+        _message_type(
             "Operator",
             [
-                ("idle_hold_s", Field.TYPE_DOUBLE, once, ""),
-                ("duties", Field.TYPE_MESSAGE, once, f".{PACKAGE}.Duties"),
-                ("cells", Field.TYPE_MESSAGE, once, f".{PACKAGE}.Cells"),
+                ("idle_hold_s", Field.TYPE_DOUBLE, optional, ""),
+                ("duties", Field.TYPE_MESSAGE, optional, f".{PACKAGE}.Duties"),
+                ("cells", Field.TYPE_MESSAGE, optional, f".{PACKAGE}.Cells"),
             ],
         )
     )
     pool = descriptor_pool.DescriptorPool()
-    pool.Add(described)
-    found = pool.FindMessageTypeByName(f"{PACKAGE}.Operator")
-    made: Message = message_factory.GetMessageClass(found)()
-    return made
+    pool.Add(schema)
+    operator_type = pool.FindMessageTypeByName(f"{PACKAGE}.Operator")
+    message: Message = message_factory.GetMessageClass(operator_type)()
+    return message
 
 
 def _parse(text: str) -> Message:
-    """The file by our schema, or as the older form of it: a google.protobuf.Struct."""
+    """The message of a file by our schema or, in an older form of the file, a
+    google.protobuf.Struct. text_format.ParseError if it is neither."""
     message = _new_message()
     try:
         text_format.Parse(text, message)
@@ -104,10 +107,11 @@
 
 
 def load_operator(path: str) -> Operator:
-    """The operators' settings from their file, checked."""
+    """The operators' settings from their file; SettingsError, which names the file, if it cannot be
+    read or is not valid."""
     try:
-        with open(path, encoding="utf-8") as handle:
-            message = _parse(handle.read())
+        with open(path, encoding="utf-8") as file:
+            message = _parse(file.read())
         raw = json_format.MessageToDict(message, preserving_proto_field_name=True)
         return msgspec.convert(raw, Operator)
     except (OSError, UnicodeDecodeError, text_format.ParseError) as exc:
--- a/peathall/operator_config/settings.py
+++ b/peathall/operator_config/settings.py
@@ -11,18 +11,18 @@
 
 
 class Operator(Struct, frozen=True, forbid_unknown_fields=True):
-    """What the operators may set themselves; the defaults serve without a file."""
+    """The operators' file; without one, the defaults hold. Unknown fields are an error."""
 
-    idle_hold_s: NotNegative | None = None
+    idle_hold_s: NotNegative | None = None  # how long idle machines are kept; None: see ScaleIn
     duties: DutySettings | None = None
     cells: CellSettings | None = None
 
     @property
     def duty_mode(self) -> Mode:
-        """This controller's part in duties; without a section it has none."""
+        """How this controller takes part in duties: not at all without a section."""
         return self.duties.mode if self.duties is not None else Mode.OFF
 
     @property
     def cell_mode(self) -> Mode:
-        """This controller's part in cells; without a section it has none."""
+        """How this controller takes part in cells: not at all without a section."""
         return self.cells.mode if self.cells is not None else Mode.OFF
