--- a/peathall/protocol/cloud.py
+++ b/peathall/protocol/cloud.py
@@ -89,12 +89,12 @@
 
 
 def decode_machine_types(raw: dict[str, Any]) -> list[MachineType]:
-    """The cloud's answer about machine types, or the record of them."""
+    """The machine types in the cloud's response, or in the record of them."""
     return [decode_machine_type(item) for item in raw["builds"]]
 
 
 def encode_machine_types(machine_types: list[MachineType]) -> dict[str, Any]:
-    """The record of machine types, in the form of the cloud's answer."""
+    """The record of machine types, in the form of the cloud's response."""
     return {"builds": [encode_machine_type(machine_type) for machine_type in machine_types]}
 
 
@@ -179,6 +179,6 @@
 
 
 def is_capacity_error(raw: Any) -> bool:
-    """Whether the body of a 503 says that the cloud has no such machines left, rather than that
-    it is out of order."""
+    """Whether the body of a 503 says that the cloud has no such machines left, rather than that it
+    failed."""
     return "capacity" in decode_error(raw)
--- a/peathall/protocol/jobs.py
+++ b/peathall/protocol/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs: submissions, their records, and answers about their status.
+"""Jobs: submissions, their records, and responses about their status.
 
 ===============  ==================================================
 protocol         here
@@ -121,13 +121,8 @@
         return math.inf if self.daemon else self.estimate_s
 
 
-def decode_submission(raw: dict[str, Any], submitted: float) -> JobSpec:
-    """The job in the body of a submission that is accepted at the time of day `submitted`;
-    MalformedError if it is invalid."""
-    try:
-        job = msgspec.convert(raw, WireJob)
-    except msgspec.ValidationError as exc:
-        raise MalformedError(str(exc)) from None
+def _check_finite(job: WireJob) -> None:
+    """MalformedError for infinity, which the bounds of `Amount` do not exclude."""
     amounts = (
         job.vcpus,
         job.cards,
@@ -140,6 +135,16 @@
     )
     if not all(math.isfinite(amount) for amount in amounts):
         raise MalformedError("an amount is not finite")
+
+
+def decode_submission(raw: dict[str, Any], submitted: float) -> JobSpec:
+    """The job in the body of a submission that is accepted at the time of day `submitted`;
+    MalformedError if it is invalid."""
+    try:
+        job = msgspec.convert(raw, WireJob)
+    except msgspec.ValidationError as exc:
+        raise MalformedError(str(exc)) from None
+    _check_finite(job)
     return JobSpec(
         id=job.id,
         class_name=job.docket,
@@ -181,5 +186,5 @@
 def encode_job_status(
     job_id: str, status: JobStatus, done: int = 0, running: int = 0
 ) -> dict[str, Any]:
-    """The body of an answer about a job; `done` and `running` are numbers of tasks."""
+    """The body of a response about a job; `done` and `running` are numbers of tasks."""
     return {"id": job_id, "standing": status.value, "done": done, "running": running}
--- a/tests/unit/test_protocol.py
+++ b/tests/unit/test_protocol.py
@@ -97,7 +97,7 @@
 
 
 def test_heartbeats_are_translated() -> None:
-    report = decode_heartbeat(
+    heartbeat = decode_heartbeat(
         {
             "hall": "m-1", "endpoint": "10.1.0.2:9000", "build": "g8", "ward": "a",
             "standby": True, "tenure": 1, "tick": 88, "mandate": 41, "recall_s": None,
@@ -108,7 +108,7 @@
             ],
         }
     )  # fmt: skip
-    assert [(t.job, t.task, t.exit_reason) for t in report.tasks] == [
+    assert [(t.job, t.task, t.exit_reason) for t in heartbeat.tasks] == [
         ("j-0", 3, None),
         ("j-1", 0, ExitReason.DONE),
         ("j-1", 1, ExitReason.ERROR),
