--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -37,13 +37,14 @@
 from peathall.leadership.election import LeaderRecord, TermRecord
 from peathall.operator_config.file import load_operator
 from peathall.operator_config.settings import Operator
-from peathall.protocol.cloud import machine_type_from_wire, machine_type_to_wire
+from peathall.protocol.cloud import decode_machine_type, encode_machine_type
 from peathall.protocol.heartbeats import (
+    Command,
+    ForgetCommand,
+    StartCommand,
+    StopCommand,
     encode_commands,
     encode_heartbeat_response,
-    forget_command,
-    start_command,
-    stop_command,
 )
 from peathall.protocol.jobs import JobStatus, encode_job_status, spec_to_record
 from peathall.store import client as store
@@ -71,7 +72,7 @@
         self.answers = list(answers)
         self.kind = kind
         self.calls: list[tuple[str, str, bytes]] = []
-        self.busy = False
+        self.in_flight = 0
 
     async def request(
         self, method: str, path: str, body: bytes, timeout: float
@@ -563,7 +564,7 @@
     node = new_node()
     nothing_listed = {"items": [], "more": False, "epoch": 1}
     node.store.http = RecordedHttp((200, nothing_listed), (200, {"epoch": 1, "news": []}), answer)
-    node.follower_service.types = {"g8": machine_type_from_wire(BUILD)}
+    node.follower_service.types = {"g8": decode_machine_type(BUILD)}
     return node, node.store.http
 
 
@@ -672,11 +673,11 @@
 FORGET = {"writ": "forget", "parcel": "j-000398/0", "try": 3}
 
 
-def writs() -> list[dict[str, Any]]:
+def writs() -> list[Command]:
     return [
-        start_command("j-000412", 4, 2),
-        stop_command("j-000377", 1, 1, 10.0),
-        forget_command("j-000398", 0, 3),
+        StartCommand("j-000412", 4, 2),
+        StopCommand("j-000377", 1, 1, 10.0),
+        ForgetCommand("j-000398", 0, 3),
     ]
 
 
@@ -775,7 +776,7 @@
         assert msgspec.structs.astuple(least) == (
             "c", 4.0, 0.0, 8.0, 0.0, 1.0, 0.0, 0.0, 60.0, [],
         )  # fmt: skip
-        check_bytes(encoded(machine_type_to_wire(full)), BUILD)
+        check_bytes(encoded(encode_machine_type(full)), BUILD)
 
     run(play)
     http.check(("GET", "/machine_types", None))
