--- a/peathall/cells/command.py
+++ b/peathall/cells/command.py
@@ -1,19 +1,21 @@
-"""`peathall cells`: other cells, what is lent to them and borrowed from them, and why jobs stay."""
+"""`peathall cells`: the other cells, the jobs lent to and borrowed from them, and why jobs stay."""
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.status_command import StatusCommand
 
 
-def lines(status: CellsStatus, now: float) -> list[str]:
-    """The answer as readable text."""
-    told = [f"cell {status.cell}, led by {status.leader}"]
-    told += [_cell_line(cell) for cell in status.cells]
-    told += [_handoff_line(handoff, "lent to") for handoff in status.lent]
-    told += [_handoff_line(handoff, "borrowed from") for handoff in status.borrowed]
-    told += [f"stays: {job}: {why}" for job, why in status.staying.items()]
-    return told
+def format_lines(status: CellsStatus, now: float) -> list[str]:
+    """The status as text; the time of day does not matter."""
+    lines = [f"cell {status.cell}, led by {status.leader}"]
+    lines += [_cell_line(cell) for cell in status.cells]
+    lines += [_handoff_line(handoff, "lent to") for handoff in status.lent]
+    lines += [_handoff_line(handoff, "borrowed from") for handoff in status.borrowed]
+    lines += [f"stays: {job}: {reason}" for job, reason in status.staying.items()]
+    return lines
 
 
 def _cell_line(cell: CellStatus) -> str:
@@ -22,17 +24,25 @@
     return f"{cell.cell}: answered {cell.answered_s:.0f} s ago, {cell.machines_free} machines free"
 
 
-def _handoff_line(handoff: HandoffStatus, how: str) -> str:
-    left = handoff.lease_left_s
-    lease = "no lease" if left is None else f"lease ends in {left:.0f} s" if left else "lease ended"
-    return f"{how} {handoff.cell}: {handoff.job} {handoff.phase}, {lease}"
+def _handoff_line(handoff: HandoffStatus, relation: str) -> str:
+    remaining_s = handoff.lease_left_s
+    if remaining_s is None:
+        lease = "no lease"
+    elif remaining_s:
+        lease = f"lease ends in {remaining_s:.0f} s"
+    else:
+        lease = "lease ended"
+    return f"{relation} {handoff.cell}: {handoff.job} {handoff.phase}, {lease}"
 
 
 COMMAND = StatusCommand(
-    "cells",
-    "Jobs that are in other cells, or are other cells' here.",
-    "/cells",
-    CellsStatus,
-    {404: "cells are off there", 503: "it knows of no leader that answers"},
-    lines,
+    name="cells",
+    description="Jobs that are in other cells, or are other cells' here.",
+    path="/cells",
+    status_type=CellsStatus,
+    reasons={
+        HTTPStatus.NOT_FOUND: "cells are off there",
+        HTTPStatus.SERVICE_UNAVAILABLE: "it knows of no leader that answers",
+    },
+    format_lines=format_lines,
 )
--- a/peathall/cli.py
+++ b/peathall/cli.py
@@ -1,4 +1,4 @@
-"""Command line of a controller."""
+"""Command line of a controller, and of the commands that ask controllers for their status."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 import logging
 import os
 import sys
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from peathall import __version__
-from peathall.config.platform import SettingsError, load
+from peathall.config.platform import Settings, SettingsError, load
 from peathall.operator_config.settings import Operator
 
 if TYPE_CHECKING:
-    from peathall.controller.controller import Controller
+    from peathall.status_command import StatusCommand
 
-LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
+LOG_LEVELS = {"error": logging.ERROR, "info": logging.INFO, "debug": logging.DEBUG}
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """The command line."""
+    """The parser of a controller's arguments."""
     parser = argparse.ArgumentParser(
         prog="peathall", description="A controller of the peathall cluster scheduler."
     )
@@ -34,68 +34,74 @@
     return parser
 
 
-async def serve(node: Controller) -> None:
-    """Run the controller; told to end, it first gives up in order what it holds."""
-    import asyncio
-    import signal
-
-    running = asyncio.ensure_future(node.run())
-    if node.operator.duties is not None:
-        asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, running.cancel)
-    try:
-        await running
-    except asyncio.CancelledError:
-        await node.release()
-
-
 def main(argv: list[str] | None = None) -> int:
-    """Run a controller, check its settings, or ask controllers; the exit code."""
-    words = sys.argv[1:] if argv is None else argv
-    if words[:1] == ["duties"]:
-        from peathall.duties import command
-
-        return command.COMMAND.main(words[1:])
-    if words[:1] == ["cells"]:
-        from peathall.cells.command import COMMAND
-
-        return COMMAND.main(words[1:])
-    args = build_parser().parse_args(words)
+    """Run a controller, check its settings, or ask controllers for their status.
+
+    The exit code: 0 on success, 1 if an address can't be listened on or no controller answers, 2
+    for wrong settings or arguments.
+    """
+    arguments = sys.argv[1:] if argv is None else argv
+    command = _status_command(arguments[0]) if arguments else None
+    if command is not None:
+        return command.main(arguments[1:])
+    args = build_parser().parse_args(arguments)
     level = os.environ.get("LOG_LEVEL", "info").lower()
     logging.basicConfig(
         stream=sys.stderr,
-        level=LEVELS.get(level, logging.INFO),
+        level=LOG_LEVELS.get(level, logging.INFO),
         format="%(asctime)s %(levelname)s %(name)s %(message)s",
     )
     try:
-        if level not in LEVELS:
-            raise SettingsError(f"LOG_LEVEL: {level!r} is none of {', '.join(LEVELS)}")
-        config = load(args.config)
-        operator = Operator()
-        if args.operator_config:
-            # Imported here only: most controllers have no such file.
-            from peathall.operator_config.file import load_operator
-
-            operator = load_operator(args.operator_config)
-            problem = operator.cells and operator.cells.problem(
-                config.params.workers.lease_expiry_s
-            )
-            if problem:
-                raise SettingsError(f"{args.operator_config}: {problem}")
+        if level not in LOG_LEVELS:
+            raise SettingsError(f"LOG_LEVEL: {level!r} is none of {', '.join(LOG_LEVELS)}")
+        settings = load(args.config)
+        operator = _load_operator(args.operator_config, settings)
     except SettingsError as exc:
         print(f"peathall: {exc}", file=sys.stderr)
         return 2
     if args.check:
-        print(f"settings of {config.name} are in order")
+        print(f"settings of {settings.name} are in order")
         return 0
-    import asyncio
+    return _run(settings, operator)
+
+
+def _status_command(name: str) -> StatusCommand[Any] | None:
+    """The command of that name, if it is one. Imported here only: a controller needs none."""
+    if name == "duties":
+        from peathall.duties.command import COMMAND as DUTIES_COMMAND
 
-    from peathall.controller.controller import Controller
+        return DUTIES_COMMAND
+    if name == "cells":
+        from peathall.cells.command import COMMAND as CELLS_COMMAND
+
+        return CELLS_COMMAND
+    return None
+
+
+def _load_operator(path: str | None, settings: Settings) -> Operator:
+    """The operators' settings, checked against the platform's; SettingsError if they are wrong."""
+    if not path:
+        return Operator()
+    # Imported here only: most controllers have no such file.
+    from peathall.operator_config.file import load_operator
+
+    operator = load_operator(path)
+    if operator.cells is not None:
+        problem = operator.cells.problem(settings.params.workers.lease_expiry_s)
+        if problem:
+            raise SettingsError(f"{path}: {problem}")
+    return operator
+
+
+def _run(settings: Settings, operator: Operator) -> int:
+    # Imported here only: a check of the settings needs neither a controller nor an event loop.
+    from peathall.controller.process import run_process
 
     try:
-        asyncio.run(serve(Controller(config, operator)))
+        run_process(settings, operator)
     except OSError as exc:
         print(f"peathall: {exc}", file=sys.stderr)
         return 1
     except KeyboardInterrupt:
-        return 0
+        pass  # ended by the operator at a terminal
     return 0
--- a/peathall/duties/command.py
+++ b/peathall/duties/command.py
@@ -1,17 +1,19 @@
-"""`peathall duties`: who holds what, what is outstanding, and why something waits."""
+"""`peathall duties`: the holder of each duty, unfinished actions, and why one has to wait."""
 
 from __future__ import annotations
 
+from http import HTTPStatus
+
 from peathall.duties.status import DutiesStatus, DutyStatus
 from peathall.status_command import StatusCommand
 
 
-def lines(status: DutiesStatus, now: float) -> list[str]:
-    """The answer as readable text."""
-    told = [f"duties are {'on' if status.on else 'off'}; {status.leader or 'nobody'} leads"]
+def format_lines(status: DutiesStatus, now: float) -> list[str]:
+    """The status as text; `now` is the time of day."""
+    lines = [f"duties are {'on' if status.on else 'off'}; {status.leader or 'nobody'} leads"]
     for duty in status.duties:
-        told += _duty_lines(duty, now)
-    return told
+        lines += _duty_lines(duty, now)
+    return lines
 
 
 def _duty_lines(duty: DutyStatus, now: float) -> list[str]:
@@ -19,21 +21,24 @@
         held = "nobody holds it"
     else:
         held = f"{duty.holder} holds it for {max(0.0, now - duty.since):.0f} s"
-    told = [f"{duty.duty}: {held}, token {duty.token}, {len(duty.outstanding)} outstanding"]
-    told += [f"  outstanding: {name}" for name in duty.outstanding]
-    taken = ", ".join(f"{x.member} after {x.vacant_s:.1f} s" for x in duty.handovers)
-    if taken:
-        told.append(f"  latest claims: {taken}")
+    lines = [f"{duty.duty}: {held}, token {duty.token}, {len(duty.outstanding)} outstanding"]
+    lines += [f"  outstanding: {name}" for name in duty.outstanding]
+    claims = ", ".join(f"{x.member} after {x.vacant_s:.1f} s" for x in duty.handovers)
+    if claims:
+        lines.append(f"  latest claims: {claims}")
     if duty.waiting is not None:
-        told.append(f"  waits: {duty.waiting}")
-    return told
+        lines.append(f"  waits: {duty.waiting}")
+    return lines
 
 
 COMMAND = StatusCommand(
-    "duties",
-    "Who holds which duty, and why something waits.",
-    "/duties",
-    DutiesStatus,
-    {404: "duties are off there", 503: "it can't read the state service now"},
-    lines,
+    name="duties",
+    description="Who holds which duty, and why something waits.",
+    path="/duties",
+    status_type=DutiesStatus,
+    reasons={
+        HTTPStatus.NOT_FOUND: "duties are off there",
+        HTTPStatus.SERVICE_UNAVAILABLE: "it can't read the state service now",
+    },
+    format_lines=format_lines,
 )
--- a/peathall/status_command.py
+++ b/peathall/status_command.py
@@ -1,4 +1,4 @@
-"""Commands that ask controllers for the status of a feature, and print it."""
+"""Commands for operators that ask controllers for the status of a feature, and print it."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 import time
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
+from http import HTTPStatus
 from typing import Generic, TypeVar
 
 import msgspec
@@ -22,60 +23,62 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusCommand(Generic[S]):
-    """One such command: what it asks for, and how the answer is told."""
+    """One such command: which status it requests, and how it prints it."""
 
     name: str
     description: str
-    path: str  # at the controllers' back addresses
-    kind: type[S]
-    reasons: Mapping[int, str]  # status of an answer -> what it means
-    lines: Callable[[S, float], list[str]]  # the answer as readable text, at a time of day
+    path: str  # of the status, at the controllers' addresses for other controllers
+    status_type: type[S]
+    reasons: Mapping[int, str]  # HTTP status of a refusal -> what it means
+    format_lines: Callable[[S, float], list[str]]  # the status as text, at a time of day
 
-    def parser(self) -> argparse.ArgumentParser:
-        """The command line."""
+    def build_parser(self) -> argparse.ArgumentParser:
+        """The parser of the command's arguments."""
         parser = argparse.ArgumentParser(prog=f"peathall {self.name}", description=self.description)
-        where = parser.add_mutually_exclusive_group(required=True)
-        where.add_argument(
+        addresses = parser.add_mutually_exclusive_group(required=True)
+        addresses.add_argument(
             "--config", metavar="FILE", help="a controller's settings file: all it names are asked"
         )
-        where.add_argument(
+        addresses.add_argument(
             "--controller", metavar="ADDR", action="append", help="back address of a controller"
         )
         parser.add_argument("--json", action="store_true", help="for scripts")
         return parser
 
-    async def ask(self, addresses: list[str]) -> tuple[S | None, list[str]]:
-        """The first answer, and what the controllers asked before it said instead."""
-        troubles: list[str] = []
+    async def fetch(self, addresses: list[str]) -> tuple[S | None, list[str]]:
+        """The status from the first controller that gives it, None if none does; and why the
+        controllers that were asked before it gave none."""
+        failures: list[str] = []
         for address in addresses:
             try:
                 status, raw = await HttpClient(address, "application/json", keep=0).request(
                     "POST", self.path, b"", constants.DUTY_ASK_S
                 )
-                if status == 200:
-                    return msgspec.convert(orjson.loads(raw), self.kind), troubles
-                troubles.append(f"{address}: {self.reasons.get(status, f'answered {status}')}")
+                if status == HTTPStatus.OK:
+                    return msgspec.convert(orjson.loads(raw), self.status_type), failures
+                failures.append(f"{address}: {self.reasons.get(status, f'answered {status}')}")
             except (NoAnswerError, orjson.JSONDecodeError, msgspec.ValidationError) as exc:
-                troubles.append(f"{address}: {exc}")
-        return None, troubles
+                failures.append(f"{address}: {exc}")
+        return None, failures
 
     def main(self, argv: list[str]) -> int:
-        """Ask and print; the exit code: 1 if nobody answers, 2 for wrong use."""
-        args = self.parser().parse_args(argv)
+        """Fetch and print the status. The exit code: 0 on success, 1 if no controller gives it, 2
+        for wrong settings; argparse exits with 2 itself for wrong arguments."""
+        args = self.build_parser().parse_args(argv)
         addresses = args.controller
         if addresses is None:
             try:
-                config = load(args.config)
+                settings = load(args.config)
             except SettingsError as exc:
                 print(f"peathall: {exc}", file=sys.stderr)
                 return 2
-            addresses = [config.peer_listen, *(peer.addr for peer in config.peers)]
-        status, troubles = asyncio.run(self.ask(addresses))
+            addresses = [settings.peer_listen, *(peer.addr for peer in settings.peers)]
+        status, failures = asyncio.run(self.fetch(addresses))
         if status is None:
-            print(f"peathall: no controller answers: {'; '.join(troubles)}", file=sys.stderr)
+            print(f"peathall: no controller answers: {'; '.join(failures)}", file=sys.stderr)
             return 1
         if args.json:
             print(orjson.dumps(msgspec.to_builtins(status)).decode())
         else:
-            print("\n".join(self.lines(status, time.time())))
+            print("\n".join(self.format_lines(status, time.time())))
         return 0
