--- a/peathall/controller/leader_directory.py
+++ b/peathall/controller/leader_directory.py
@@ -12,7 +12,9 @@
     """The leader, as far as this controller knows it now."""
 
     def __init__(self, own_name: str, election: Election, store: StoreClient, peers: Peers) -> None:
-        self.local: Leader | None = None  # the term that this controller serves as leader, if any
+        # The term that this controller serves as leader; `Controller.leader` sets it for as long as
+        # the term runs.
+        self.local: Leader | None = None
         self._own_name = own_name
         self._election = election
         self._store = store
--- a/peathall/peers/__init__.py
+++ b/peathall/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `peers`: requests and pings between the controllers of one deployment."""
+"""Requests and pings between the controllers of one deployment."""
--- a/tests/sim/test_cells_command.py
+++ b/tests/sim/test_cells_command.py
@@ -75,7 +75,7 @@
         ('cells { name: "north" lends: 3 }', "lends"),
     ],
 )
-def test_a_wrong_section_ends_the_start_with_one_line(
+def test_an_invalid_section_is_reported_in_one_line(
     text: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     check_refuses(text, named, tmp_path, capsys)
@@ -112,7 +112,7 @@
         assert (await post(leader, "/cells/no-such", heartbeat))[0] == 404
         status, raw = await post((leader + 1) % 3, "/cells/heartbeat", heartbeat)
         assert (status, orjson.loads(raw)) == (421, {"leader": f"hall-{leader}"})
-        # Whoever is asked tells what the leader knows.
+        # Every controller answers with the leader's status.
         for at in range(3):
             status, raw = await post(at, "/cells", b"")
             assert status == 200
@@ -121,7 +121,7 @@
     play(850, day)
 
 
-def test_status_is_told_as_text_and_for_scripts(capsys: pytest.CaptureFixture[str]) -> None:
+def test_status_is_printed_as_text_and_as_json(capsys: pytest.CaptureFixture[str]) -> None:
     status = CellsStatus(
         "north",
         "hall-1",
--- a/tests/sim/test_duties_command.py
+++ b/tests/sim/test_duties_command.py
@@ -9,6 +9,7 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
 import orjson
 import pytest
 
@@ -45,7 +46,7 @@
         ("duties {", "peathall"),
     ],
 )
-def test_a_wrong_section_ends_the_start_with_one_line(
+def test_an_invalid_section_is_reported_in_one_line(
     text: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     operator = check_refuses(text, named, tmp_path, capsys)
@@ -58,8 +59,8 @@
     config, operator = folder / "x.toml", folder / "peathall.textproto"
     config.write_text(TEXT)
     operator.write_text(text)
-    words = ["--config", str(config), "--operator-config", str(operator), "--check"]
-    assert cli.main(words) == 2
+    arguments = ["--config", str(config), "--operator-config", str(operator), "--check"]
+    assert cli.main(arguments) == 2
     err = capsys.readouterr().err
     assert named in err and err.count("\n") == 1
     return operator
@@ -107,16 +108,14 @@
         thread.join()
 
 
-def told() -> Any:
-    import msgspec
-
+def status_value() -> Any:
     items = [KeyValue(key, value, 1) for key, value in RECORDS.items()]
     waiting = {"returning": "nobody holds the duty"}
     return msgspec.to_builtins(describe("hall-0", items, "hall-2", waiting))
 
 
-def test_who_holds_what_is_told_as_text_and_for_scripts(capsys: pytest.CaptureFixture[str]) -> None:
-    with controller(200, told()) as address:
+def test_status_is_printed_as_text_and_as_json(capsys: pytest.CaptureFixture[str]) -> None:
+    with controller(200, status_value()) as address:
         assert cli.main(["duties", "--controller", address]) == 0
         text = capsys.readouterr().out
         assert cli.main(["duties", "--controller", address, "--json"]) == 0
@@ -125,21 +124,22 @@
     assert "renting: hall-1 holds it" in text and "token 4, 0 outstanding" in text
     assert "returning: nobody holds it, token 2, 1 outstanding" in text
     assert "waits: nobody holds the duty" in text and "hall-1 after 5.2 s" in text
-    assert value == told()
+    assert value == status_value()
 
 
-def test_an_answer_is_fetched_elsewhere(capsys: pytest.CaptureFixture[str]) -> None:
+def test_controllers_are_asked_until_one_answers(capsys: pytest.CaptureFixture[str]) -> None:
     """One that can't read the state service, one that has duties off, one that answers."""
-    with controller(503, None) as cut, controller(404, None) as off, controller(200, told()) as on:
-        words = ["duties", "--controller", cut, "--controller", off]
-        assert cli.main(words) == 1
+    value = status_value()
+    with controller(503, None) as cut, controller(404, None) as off, controller(200, value) as on:
+        arguments = ["duties", "--controller", cut, "--controller", off]
+        assert cli.main(arguments) == 1
         err = capsys.readouterr().err
         assert err.startswith("peathall: no controller answers") and err.count("\n") == 1
         assert "can't read the state service" in err and "duties are off there" in err
-        assert cli.main([*words, "--controller", on, "--json"]) == 0
+        assert cli.main([*arguments, "--controller", on, "--json"]) == 0
 
 
-def test_nobody_there(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_no_controller_answers(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "x.toml"
     path.write_text(TEXT)  # names addresses at which nobody listens
     assert cli.main(["duties", "--config", str(path)]) == 1
