--- a/peathall/autoscaling/__init__.py
+++ b/peathall/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `autoscaling`: provisions machines, deletes them, follows the cloud's list."""
+"""Autoscaling: provisions and deletes machines, and reconciles them with the cloud's list."""
--- /dev/null
+++ b/peathall/autoscaling/machine_list.py
@@ -0,0 +1,93 @@
+"""Reconciliation of the cluster's machines with the cloud's machine list."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from peathall import constants
+from peathall.autoscaling.provider_client import CloudClient
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.state import ClusterState
+from peathall.config.platform import CloudSettings
+from peathall.protocol.cloud import ListedMachine
+from peathall.workers.service import Workers
+
+
+def list_gap_s(machines: int, rps: float) -> float:
+    """Seconds between reads of a list of so many machines, at so many requests a second: its
+    pages leave most of the requests to provisioning and deletion."""
+    pages = 1 + machines // constants.LIST_PAGE
+    return max(constants.LIST_S, pages / (constants.LIST_SHARE * rps))
+
+
+class MachineList:
+    """Reads the cloud's machine list and applies it to the cluster."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        cloud: CloudClient,
+        settings: CloudSettings,
+        workers: Workers,
+        on_failed: Callable[[str], None],
+    ) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._cluster = cluster
+        self._cloud = cloud
+        self._settings = settings
+        self._workers = workers
+        self._on_failed = on_failed  # called with the name of a machine that is listed as failed
+        self._read_at = -1e9
+        self._gap_s = constants.LIST_S
+        self.is_known = False  # read at least once in this term
+
+    def is_due(self, now: float) -> bool:
+        """Whether the list is to be read again."""
+        return now - self._read_at > self._gap_s
+
+    async def refresh(self, now: float) -> None:
+        """Read the whole list and reconcile the cluster with it; raises CloudError."""
+        self._read_at = now
+        listed = await self._cloud.machines()
+        self._gap_s = list_gap_s(len(listed), self._settings.rps)
+        self.reconcile(listed, self._loop.time())
+
+    def reconcile(self, listed: list[ListedMachine], now: float) -> None:
+        """Add machines that are new, and remove those that failed or are listed no more."""
+        self.is_known = True
+        for item in listed:
+            if not self._cluster.was_deleted(item.name):
+                self._apply(item, now)
+        self._remove_unlisted(now)
+
+    def _apply(self, item: ListedMachine, now: float) -> None:
+        # A machine that runs and is unknown here started up under an earlier leader: it is
+        # judged by its heartbeats from now on, not by its age.
+        is_running = item.state == "running"
+        machine = self._cluster.machine(
+            item.name,
+            item.type,
+            item.zone,
+            item.spot,
+            MachinePhase.RECOVERED if is_running else MachinePhase.STARTING,
+            now,
+        )
+        machine.created_at = min(machine.created_at, now - item.age_s)
+        machine.listed_at = now
+        machine.listed_by_cloud = True
+        if not machine.addr:
+            machine.addr = item.addr
+        if item.state == "failed":
+            # It has stopped without a request of ours, and everything on it with it.
+            self._workers.machine_gone(machine, now, "the cloud lists it as failed")
+            self._on_failed(item.name)
+
+    def _remove_unlisted(self, now: float) -> None:
+        limit_s = constants.UNLISTED_LAGS * max(1.0, self._settings.list_lag_s)
+        for machine in list(self._cluster.machines.values()):
+            silent_s = self._workers.health.seconds_since_heartbeat(machine, now)
+            if now - machine.listed_at > limit_s and silent_s > limit_s and not machine.attempts:
+                # Reclaimed by the cloud, or never provisioned. Its capacity was freed before,
+                # by the expiry of its lease; being unlisted alone proves nothing.
+                self._workers.machine_gone(machine, now, "the cloud does not list it any more")
--- /dev/null
+++ b/peathall/autoscaling/machine_types.py
@@ -0,0 +1,63 @@
+"""The machine types of the cloud, and the copy of them in the state service."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from peathall import constants
+from peathall.autoscaling.provider_client import CloudClient
+from peathall.cluster.state import ClusterState
+from peathall.protocol import codec
+from peathall.protocol.cloud import MachineType, machine_type_from_wire, machine_type_to_wire
+from peathall.store.client import Put
+from peathall.store.writer import Writer
+
+TYPES = "types"  # key of the stored copy
+
+
+class MachineTypes:
+    """Keeps the cluster's machine types and their stored copy up to date."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        cloud: CloudClient,
+        writer: Writer,
+        on_first_known: Callable[[], None],
+    ) -> None:
+        self._cluster = cluster
+        self._cloud = cloud
+        self._writer = writer
+        self._on_first_known = on_first_known
+        self._refreshed_at = -1e9
+
+    def load(self, value: Any) -> None:
+        """After a failover: the types as they were last stored."""
+        self._set([machine_type_from_wire(x) for x in value["builds"]])
+
+    def is_due(self, now: float) -> bool:
+        """Whether the types are to be read: none are known, or their prices may have changed."""
+        return not self._cluster.types or now - self._refreshed_at > constants.TYPES_S
+
+    async def refresh(self, now: float) -> None:
+        """Read the types from the cloud, and store them if they have changed."""
+        self._refreshed_at = now
+        types = await self._cloud.types()
+        known = bool(self._cluster.types)
+        if {t.name: t for t in types} != self._cluster.types:
+            self._set(types)
+            # Kept in the state service, so that a leader that starts during an outage of
+            # the cloud can still validate jobs and place them.
+            value = {"builds": [machine_type_to_wire(t) for t in types]}
+            if codec.json_size(value) < self._writer.value_limit:
+                self._writer.submit([Put(TYPES, value)])
+        if not known:
+            self._on_first_known()
+
+    def _set(self, types: list[MachineType]) -> None:
+        self._cluster.types = {t.name: t for t in types}
+        for machine in self._cluster.machines.values():
+            machine_type = self._cluster.types.get(machine.type)
+            if machine_type is not None and not machine.cpus:
+                machine.set_capacity(machine_type)
--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -1,4 +1,4 @@
-"""Calls to the cloud, within its budget of requests."""
+"""The client of the cloud's machine API, within its rate limit."""
 
 from __future__ import annotations
 
@@ -22,17 +22,21 @@
 
 
 class CloudClient:
-    """The cloud's calls. Errors are CloudError; room refused is NoCapacityError."""
+    """Requests to the cloud; they raise CloudError, or NoCapacityError if it has no capacity.
+
+    `may_send` is asked before each request; `share` is this client's part of the rate limit.
+    """
 
     def __init__(
         self, addr: str, settings: CloudSettings, may_send: Callable[[], bool], share: float = 1.0
     ) -> None:
         self.http = HttpClient(addr, may_send=may_send)
-        self.loop = asyncio.get_running_loop()
-        self.budget = TokenBucket(settings.rps * share * 0.9, settings.rps * share)
+        self._loop = asyncio.get_running_loop()
+        self._rate_limit = TokenBucket(settings.rps * share * 0.9, settings.rps * share)
 
     async def _ask(self, method: str, path: str, value: Any = None, keep: float = 0.0) -> Any:
-        while (pause := self.budget.wait(1, self.loop.time(), keep)) > 0:
+        """The decoded answer; `keep` is the part of the burst to be left to other requests."""
+        while (pause := self._rate_limit.wait(1, self._loop.time(), keep)) > 0:
             await asyncio.sleep(pause)
         data = b"" if value is None else codec.cbor_bytes(value)
         try:
@@ -41,11 +45,12 @@
         except NoAnswerError as exc:
             raise CloudError(str(exc), exc.sent) from None
         except Exception as exc:
-            raise CloudError(f"garbled answer: {exc}", True) from None
+            # Whatever a damaged answer makes the decoder raise, the request was sent.
+            raise CloudError(f"the cloud's answer cannot be decoded: {exc}", True) from None
         if status == 503 and "capacity" in str((answer or {}).get("error", "")):
             raise NoCapacityError
         if status != 200:
-            raise CloudError(f"cloud: {status}", False)
+            raise CloudError(f"the cloud answered {method} {path} with status {status}", False)
         return answer
 
     async def types(self) -> list[MachineType]:
@@ -61,7 +66,8 @@
             path = f"/hosts?most={constants.LIST_PAGE}" + (
                 f"&after={quote(after)}" if after else ""
             )
-            # The first page waits as all calls do, or a busy cloud would never be looked at.
+            # The first page waits as all requests do, or the list would never be read while many
+            # others are waiting.
             raw = await self._ask("GET", path, keep=constants.LIST_KEEP if after else 0.0)
             page = [listed_from_wire(x) for x in raw["halls"]]
             found += page
@@ -69,17 +75,17 @@
                 return found
             after = page[-1].name
 
-    async def provision(self, rental: ProvisionRequest) -> list[str]:
-        """Rent machines; a request repeated under its name rents nothing more."""
+    async def provision(self, request: ProvisionRequest, /) -> list[str]:
+        """Provision machines; repeating a request under its name provisions nothing more."""
         wire = {
-            "hire": rental.request,
-            "build": rental.type,
-            "ward": rental.zone,
-            "standby": rental.spot,
-            "how_many": rental.count,
+            "hire": request.request,
+            "build": request.type,
+            "ward": request.zone,
+            "standby": request.spot,
+            "how_many": request.count,
         }
         return [str(x) for x in (await self._ask("POST", "/hosts", wire))["halls"]]
 
-    async def delete(self, machines: list[str]) -> None:
+    async def delete(self, machines: list[str], /) -> None:
         """Delete machines. Once this returns, they and everything on them are gone."""
         await self._ask("POST", "/hosts/delete", {"halls": machines})
--- /dev/null
+++ b/peathall/autoscaling/provisioner.py
@@ -0,0 +1,128 @@
+"""Provision requests: sends them, repeats those without an answer, remembers capacity errors."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable, Coroutine
+from dataclasses import dataclass
+from typing import Any
+
+from peathall import constants
+from peathall.autoscaling.actions import (
+    CloudActions,
+    CloudError,
+    NoCapacityError,
+    ProvisionRequest,
+)
+from peathall.autoscaling.scale_out import MachineOffer, OfferKey
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.state import ClusterState
+
+log = logging.getLogger("peathall.autoscaling")
+
+
+@dataclass(frozen=True, slots=True)
+class NamedProvision:
+    """So many machines of a kind, requested under a name that is never used again."""
+
+    name: str
+    offer: MachineOffer
+    count: int
+
+    def request(self) -> ProvisionRequest:
+        """As it is sent."""
+        offer = self.offer
+        return ProvisionRequest(self.name, offer.type.name, offer.zone, offer.spot, self.count)
+
+
+class Provisioner:
+    """Provisions machines, and adds them to the cluster."""
+
+    def __init__(
+        self, cluster: ClusterState, actions: CloudActions, is_active: Callable[[], bool]
+    ) -> None:
+        self._loop = asyncio.get_running_loop()
+        self._cluster = cluster
+        self._actions = actions
+        self._is_active = is_active
+        self._number = 0  # of the latest request of this term
+        self.unanswered: list[NamedProvision] = []  # sent, and perhaps carried out
+        # Kind -> until when it is not requested again, since the cloud has too few of it.
+        self.capacity_errors: dict[OfferKey, float] = {}
+
+    def is_available(self, offer: MachineOffer, now: float) -> bool:
+        """Whether the cloud has not lately returned a capacity error for the kind."""
+        return self.capacity_errors.get(offer.key, -1e9) < now
+
+    def has_capacity_errors(self, now: float) -> bool:
+        """Whether the cloud has lately provisioned less than was requested."""
+        return any(until > now for until in self.capacity_errors.values())
+
+    async def repeat_unanswered(self) -> None:
+        """Repeat requests without an answer under their own names; raises CloudError."""
+        await self._all_of([self._provision(entry) for entry in self.unanswered])
+
+    async def provision(self, machines: list[tuple[MachineOffer, int]]) -> None:
+        """Request so many machines of each kind; raises CloudError."""
+        requests = []
+        for offer, count in machines:
+            for part in range(0, count, constants.PROVISION_MAX):
+                self._number += 1
+                # The term makes the name unique for good, whoever leads later.
+                name = f"r-{self._cluster.term}-{self._number}"
+                size = min(count - part, constants.PROVISION_MAX)
+                requests.append(self._provision(NamedProvision(name, offer, size)))
+        await self._all_of(requests)
+
+    @staticmethod
+    async def _all_of(requests: list[Coroutine[Any, Any, None]]) -> None:
+        """All at the same time: hundreds of machines can be needed at once. An error is raised
+        when all requests have ended."""
+        for result in await asyncio.gather(*requests, return_exceptions=True):
+            if isinstance(result, BaseException):
+                raise result
+
+    async def _provision(self, entry: NamedProvision) -> None:
+        if not self._is_active():
+            return
+        try:
+            names = await self._actions.provision(entry.request())
+        except NoCapacityError:
+            self._answered(entry)
+            self._note_capacity_error(entry.offer)
+            return
+        except CloudError as exc:
+            if exc.sent and entry not in self.unanswered:
+                self.unanswered.append(entry)
+            raise
+        self._answered(entry)
+        if len(names) < entry.count:
+            self._note_capacity_error(entry.offer)
+        log.info(
+            "provision request %s: %d of %d %smachines of type %s in zone %s provisioned",
+            entry.name,
+            len(names),
+            entry.count,
+            "spot " if entry.offer.spot else "",
+            entry.offer.type.name,
+            entry.offer.zone,
+        )
+        self._add_machines(names, entry.offer)
+
+    def _answered(self, entry: NamedProvision) -> None:
+        if entry in self.unanswered:
+            self.unanswered.remove(entry)
+
+    def _note_capacity_error(self, offer: MachineOffer) -> None:
+        self.capacity_errors[offer.key] = self._loop.time() + constants.NO_CAPACITY_S
+
+    def _add_machines(self, names: list[str], offer: MachineOffer) -> None:
+        now = self._loop.time()
+        for name in names:
+            if not self._cluster.was_deleted(name):
+                machine = self._cluster.machine(
+                    name, offer.type.name, offer.zone, offer.spot, MachinePhase.STARTING, now
+                )
+                machine.created_at = now
+                machine.listed_by_cloud = True
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""Which machines are returned, and why. Pure but for what it remembers of earlier returns."""
+"""The policy of scale-in: which machines are deleted, and why."""
 
 from __future__ import annotations
 
@@ -16,19 +16,22 @@
 from peathall.protocol.jobs import JobSpec
 from peathall.workers.health import MachineHealth
 
-log = logging.getLogger("peathall.fleet")
+log = logging.getLogger("peathall.autoscaling")
 
 
 @dataclass(frozen=True, slots=True)
 class CapacityShortage:
-    """What the cloud does not give."""
+    """What the cloud does not provide."""
 
-    starved: list[JobSpec]  # jobs that have waited long for machines
-    refused: bool  # the cloud lately gave less than was asked for
+    starving: list[JobSpec]  # jobs that have waited long for machines
+    has_capacity_errors: bool  # the cloud lately provisioned less than was requested
 
 
-class ScaleIn:
-    """Decides which machines go back: silent, unusable, taken, late or idle ones."""
+class ScaleInPolicy:
+    """Decides which machines are deleted: silent, draining, reclaimed, late or idle ones.
+
+    `idle_hold_s`: seconds for which idle machines are kept; None for a choice by cost.
+    """
 
     def __init__(
         self,
@@ -38,143 +41,173 @@
         startup_times: StartupTimes,
         idle_hold_s: float | None,
     ) -> None:
-        self.cluster = cluster
-        self.health = health
-        self.startup_times = startup_times
-        self.idle_hold_s = idle_hold_s
-        self.guaranteed = any(team.cpus or team.gpus for team in params.teams)
-        self.made_way_at = -1e9
-
-    def to_delete(self, now: float, shortage: CapacityShortage) -> list[Machine]:
+        self._cluster = cluster
+        self._health = health
+        self._startup_times = startup_times
+        self._idle_hold_s = idle_hold_s
+        self._has_guarantees = any(team.cpus or team.gpus for team in params.teams)
+        self._last_made_capacity_at = -1e9
+
+    def machines_to_delete(self, now: float, shortage: CapacityShortage) -> list[Machine]:
         """Machines that are of no use any more, at most as many as one request may name."""
-        self.health.note_tick(now)
-        self.startup_times.note()
-        heard, elsewhere = self.health.live_share(now), self.health.heartbeats_elsewhere()
+        self._health.note_tick(now)
+        self._startup_times.update()
+        live_share = self._health.live_share(now)
+        heard_elsewhere = self._health.heartbeats_elsewhere()
         chosen = []
-        for machine in self.cluster.machines.values():
-            why = self._why_delete(machine, now, heard, elsewhere)
-            if not why and self._unreachable(machine, now) and not elsewhere(machine):
-                why = (
-                    f"silent for {self.health.silent_to_us_s(machine, now):.0f} s, and unreachable"
-                )
-            if why:
+        for machine in self._cluster.machines.values():
+            reason = self._reason(machine, now, live_share, heard_elsewhere)
+            if not reason and self._unreachable(machine, now) and not heard_elsewhere(machine):
+                silent_s = self._health.silent_to_us_s(machine, now)
+                reason = f"no heartbeat for {silent_s:.0f} s, and it answers no liveness probe"
+            if reason:
                 if machine.phase is not MachinePhase.DELETING:
-                    log.info("machine %s is to be deleted: %s", machine.name, why)
+                    log.info("machine %s is to be deleted: %s", machine.name, reason)
                 chosen.append(machine)
-        for machine in self._make_way(now, shortage):
-            log.info("machine %s is to be deleted: it may be in the way", machine.name)
+        for machine in self.idle_for_starving_jobs(now, shortage):
+            log.info(
+                "machine %s is to be deleted: it is idle, and the cloud has no capacity for a "
+                "starving job that cannot use it",
+                machine.name,
+            )
             chosen.append(machine)
         chosen.sort(key=lambda m: not m.attempts)  # first those whose tasks wait for it
         return chosen[: constants.DELETE_MAX]
 
-    def _why_delete(
-        self, machine: Machine, now: float, heard: float, elsewhere: Callable[[Machine], bool]
+    def _reason(
+        self,
+        machine: Machine,
+        now: float,
+        live_share: float,
+        heard_elsewhere: Callable[[Machine], bool],
     ) -> str:
+        """Why the machine is to be deleted; empty if it is not."""
         phase = machine.phase
         if phase is MachinePhase.DELETING:
-            return "again"
+            return "its deletion is repeated"
         if phase is MachinePhase.STARTING:
-            return self._why_delete_booting(machine, now)
+            return self._reason_starting(machine, now)
         if phase is MachinePhase.DRAINING:
-            return self._why_delete_draining(machine, now)
-        if phase in (MachinePhase.UP, MachinePhase.RECOVERED) and heard >= constants.MIN_LIVE_SHARE:
-            why = self._why_delete_silent(machine, now, heard, elsewhere)
-            if why:
-                return why
+            return self._reason_draining(machine, now)
+        is_judged = live_share >= constants.MIN_LIVE_SHARE
+        if phase in (MachinePhase.UP, MachinePhase.RECOVERED) and is_judged:
+            reason = self._reason_silent(machine, now, live_share, heard_elsewhere)
+            if reason:
+                return reason
         # One that is not confirmed takes no work yet: it is not idle.
         if (
             phase is MachinePhase.UP
             and machine.confirmed
             and not machine.attempts
-            and now - machine.idle_since > self.hold_s(machine, now)
+            and now - machine.idle_since > self._hold_s(machine, now)
         ):
             return "idle"
         return ""
 
-    def _why_delete_booting(self, machine: Machine, now: float) -> str:
-        overtaken = self.startup_times.overtaken(machine)
-        patience = constants.STARTUP_PATIENCE if overtaken else constants.STARTUP_PATIENCE_ALL
-        limit = max(constants.STARTUP_PATIENCE_MIN_S, patience * self.startup_times.boot_s(machine))
-        return "it never came up" if now - machine.created_at > limit else ""
+    def _reason_starting(self, machine: Machine, now: float) -> str:
+        is_late_alone = self._startup_times.later_one_started(machine)
+        factor = constants.STARTUP_PATIENCE if is_late_alone else constants.STARTUP_PATIENCE_ALL
+        limit_s = max(
+            constants.STARTUP_PATIENCE_MIN_S, factor * self._startup_times.nominal_s(machine)
+        )
+        age_s = now - machine.created_at
+        return f"it has not started up in {age_s:.0f} s" if age_s > limit_s else ""
 
     @staticmethod
-    def _why_delete_draining(machine: Machine, now: float) -> str:
+    def _reason_draining(machine: Machine, now: float) -> str:
         if not machine.attempts:
             return machine.drain_reason
         if (
             machine.reclaimed_at is not None
             and now > machine.reclaimed_at + constants.RECLAIM_MARGIN_S
         ):
-            return "taken back by now"  # the answer frees its tasks before their lease
+            # The answer to the deletion frees its tasks before their lease does.
+            return "the cloud has reclaimed it by now"
         return ""
 
-    def _why_delete_silent(
-        self, machine: Machine, now: float, heard: float, elsewhere: Callable[[Machine], bool]
+    def _reason_silent(
+        self,
+        machine: Machine,
+        now: float,
+        live_share: float,
+        heard_elsewhere: Callable[[Machine], bool],
     ) -> str:
-        """Silent, deaf, or known from a single report."""
-        lost_s = self.health.lost_s()
-        quiet = self.health.silent_to_us_s(machine, now)
-        if quiet > lost_s and (heard >= constants.CERTAIN_LIVE_SHARE or not elsewhere(machine)):
-            return f"silent for {quiet:.0f} s"
-        if machine.unacknowledged_since is not None and now - machine.unacknowledged_since > lost_s:
-            return f"got no answer of ours for {now - machine.unacknowledged_since:.0f} s"
-        late = machine.phase is MachinePhase.UP and not machine.confirmed
-        if late and now - machine.registered_at > 2 * lost_s:
-            return "reported once, and nothing since shows that it exists"
+        """Silent, without acknowledgement, or known from a single heartbeat."""
+        lost_s = self._health.lost_s()
+        silent_s = self._health.silent_to_us_s(machine, now)
+        is_certain = live_share >= constants.CERTAIN_LIVE_SHARE
+        if silent_s > lost_s and (is_certain or not heard_elsewhere(machine)):
+            return f"no heartbeat for {silent_s:.0f} s"
+        since = machine.unacknowledged_since
+        if since is not None and now - since > lost_s:
+            return f"it has acknowledged no answer for {now - since:.0f} s"
+        is_unconfirmed = machine.phase is MachinePhase.UP and not machine.confirmed
+        if is_unconfirmed and now - machine.registered_at > 2 * lost_s:
+            # Perhaps a late copy of a heartbeat from a machine that is long gone.
+            return "one heartbeat only, and none since that acknowledges an answer"
         return ""
 
     def _unreachable(self, machine: Machine, now: float) -> bool:
-        """A machine whose replicas are missed at once: silent, and no probe of it is answered."""
+        """A machine with replicas, which are missed at once: silent, and it answers no probe."""
         return (
             machine.failed_probes >= constants.PROBE_TRIES
             and machine.replicas > 0
             and machine.phase is MachinePhase.UP
-            and self.health.missed_a_report(machine, now)
-            and self.health.most_are_live(now)
+            and self._health.missed_a_report(machine, now)
+            and self._health.most_are_live(now)
         )
 
-    def _make_way(self, now: float, shortage: CapacityShortage) -> list[Machine]:
-        """A cloud that refuses what a job has long waited for may have given all it has: a few
-        machines that have long been idle and are of no use to the job are not held beside it.
-        Seldom, since clouds mostly count each type and zone by itself."""
+    def idle_for_starving_jobs(self, now: float, shortage: CapacityShortage) -> list[Machine]:
+        """A few long idle machines of no use to a starving job, if the cloud has no capacity for
+        that job: it may have provisioned all that it has. Seldom, since clouds mostly limit each
+        type and zone by itself."""
+        gap_s = now - self._last_made_capacity_at
         if (
-            not shortage.starved
-            or not shortage.refused
-            or now - self.made_way_at < constants.RETURNED_FOR_STARVING_JOB_GAP_S
+            not shortage.starving
+            or not shortage.has_capacity_errors
+            or gap_s < constants.RETURNED_FOR_STARVING_JOB_GAP_S
         ):
             return []
         idle = [
-            (machine, offer_of(machine, self.cluster.types))
-            for machine in self.cluster.machines.values()
+            (machine, offer_of(machine, self._cluster.types))
+            for machine in self._cluster.machines.values()
             if machine.phase is MachinePhase.UP
             and not machine.attempts
             and now - machine.idle_since > constants.RETURNED_FOR_STARVING_JOB_IDLE_S
         ]
         found = [
-            m for m, kind in idle if kind and not any(suits(kind, s) for s in shortage.starved)
+            machine
+            for machine, offer in idle
+            if offer and not any(suits(offer, spec) for spec in shortage.starving)
         ]
         if found:
-            self.made_way_at = now
+            self._last_made_capacity_at = now
         return found[: constants.RETURNED_FOR_STARVING_JOB]
 
-    def _nothing_to_do(self) -> bool:
+    def _no_work(self) -> bool:
         return not any(
             job.phase is JobPhase.ACTIVE and (job.pending or not job.spec.daemon)
-            for job in self.cluster.jobs.values()
+            for job in self._cluster.jobs.values()
         )
 
-    def hold_s(self, machine: Machine, now: float) -> float:
-        """How long an idle machine is kept: as long as renting it anew would cost."""
-        if self.idle_hold_s is not None:
-            return self.idle_hold_s
-        size = self.cluster.types.get(machine.type)
-        if size is None:
+    def _hold_s(self, machine: Machine, now: float) -> float:
+        """Seconds for which an idle machine is kept: until provisioning it anew costs less."""
+        if self._idle_hold_s is not None:
+            return self._idle_hold_s
+        machine_type = self._cluster.types.get(machine.type)
+        if machine_type is None:
+            return constants.QUOTA_IDLE_HOLD_S
+        startup_s = machine_type.boot_s
+        is_quiet = now - self._cluster.last_submission_at > startup_s
+        if self._has_guarantees and not (is_quiet and self._no_work()):
+            # Teams with guarantees are not to wait: capacity is held ready for them.
             return constants.QUOTA_IDLE_HOLD_S
-        quiet = now - self.cluster.last_submission_at > size.boot_s
-        if self.guaranteed and not (quiet and self._nothing_to_do()):
-            return constants.QUOTA_IDLE_HOLD_S  # guaranteed teams need not wait: room is held ready
-        if quiet:
+        if is_quiet:
             return constants.QUIET_HOLD_S  # nothing arrives that it could be held for
-        # A spot machine given back may come back only as an ordinary one.
-        dearer = size.price / size.spot_price if machine.spot and size.spot_price else 1.0
-        return constants.IDLE_STARTUP_TIMES * size.boot_s * dearer
+        # In place of a spot machine there may be only an ordinary one to provision.
+        price_ratio = (
+            machine_type.price / machine_type.spot_price
+            if machine.spot and machine_type.spot_price
+            else 1.0
+        )
+        return constants.IDLE_STARTUP_TIMES * startup_s * price_ratio
--- a/peathall/autoscaling/scale_out.py
+++ b/peathall/autoscaling/scale_out.py
@@ -1,8 +1,9 @@
-"""What to rent and what to return; pure decisions."""
+"""Planning of scale-out: which machines to provision for tasks without a place. Pure functions."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
+from typing import NamedTuple
 
 from msgspec import Struct
 
@@ -12,8 +13,16 @@
 from peathall.protocol.jobs import JobSpec
 
 
+class OfferKey(NamedTuple):
+    """Identifies a kind of machine."""
+
+    type: str
+    zone: str
+    spot: bool
+
+
 class MachineOffer(Struct, frozen=True):
-    """One kind of machine that the cloud might rent."""
+    """A kind of machine that can be provisioned: a type, in a zone, spot or ordinary."""
 
     type: MachineType
     zone: str
@@ -21,17 +30,17 @@
 
     @property
     def price(self) -> float:
-        """Of an hour, now."""
+        """Present price of an hour."""
         return self.type.spot_price if self.spot else self.type.price
 
     @property
-    def key(self) -> tuple[str, str, bool]:
-        """By which refusals are remembered."""
-        return (self.type.name, self.zone, self.spot)
+    def key(self) -> OfferKey:
+        """Identifies the kind; a MachineOffer itself is not hashable."""
+        return OfferKey(self.type.name, self.zone, self.spot)
 
 
 class Bin:
-    """A machine that is on its way, as room for work that waits."""
+    """A machine as bin packing sees it: its kind, and the capacity that is free on it."""
 
     __slots__ = ("free", "offer")
 
@@ -40,112 +49,130 @@
         self.free = free or [offer.type.cpus, offer.type.gpus, offer.type.ram]
 
     def put(self, spec: JobSpec, count: int) -> None:
-        """Take room for so many tasks of the job."""
+        """Take the capacity for so many tasks of the job."""
         self.free[0] -= spec.cpus * count
         self.free[1] -= spec.gpus * count
         self.free[2] -= spec.ram * count
 
 
 def suits(offer: MachineOffer, spec: JobSpec) -> bool:
-    """Whether a task of the job may run on such a machine, and fits."""
-    kind = offer.type
+    """Whether a task of the job may run on an empty machine of this kind, and fits."""
+    machine_type = offer.type
     return (
-        (spec.types is None or kind.name in spec.types)
+        (spec.types is None or machine_type.name in spec.types)
         and (spec.zone is None or offer.zone == spec.zone)
         and (spec.spot or not offer.spot)
-        and spec.cpus <= kind.cpus + EPS
-        and spec.gpus <= kind.gpus + EPS
-        and spec.ram <= kind.ram + EPS
+        and spec.cpus <= machine_type.cpus + EPS
+        and spec.gpus <= machine_type.gpus + EPS
+        and spec.ram <= machine_type.ram + EPS
     )
 
 
 def offer_of(machine: Machine, types: Mapping[str, MachineType]) -> MachineOffer | None:
-    """The offer under which such a machine is rented, if its type is known."""
-    size = types.get(machine.type)
-    return MachineOffer(size, machine.zone, machine.spot) if size else None
+    """The kind of a machine; None if its type is unknown."""
+    machine_type = types.get(machine.type)
+    return MachineOffer(machine_type, machine.zone, machine.spot) if machine_type else None
 
 
 def all_offers(types: list[MachineType]) -> list[MachineOffer]:
-    """Every kind of machine that the cloud might have."""
+    """Every kind of machine that the cloud may have."""
     return [
         MachineOffer(t, zone, spot) for t in types for zone in t.zones for spot in (True, False)
     ]
 
 
-def per_task(offer: MachineOffer, spec: JobSpec, count: int) -> float:
-    """Price for each task placed, if `count` tasks wait."""
-    room = fits_in([offer.type.cpus, offer.type.gpus, offer.type.ram], spec)
-    return offer.price / max(1, min(room, count))
+def price_per_task(offer: MachineOffer, spec: JobSpec, count: int) -> float:
+    """Price of an hour for each task placed on a new machine, if `count` tasks wait."""
+    fit = fits_in([offer.type.cpus, offer.type.gpus, offer.type.ram], spec)
+    return offer.price / max(1, min(fit, count))
 
 
 def plan_scale_out(
-    short: list[tuple[JobView, int]],
-    coming: list[Bin],
-    left: list[Bin],
+    unplaced: list[tuple[JobView, int]],
+    starting: list[Bin],
+    free: list[Bin],
     offers: list[MachineOffer],
 ) -> list[tuple[MachineOffer, int]]:
-    """New machines for the tasks that neither have room nor find it in `coming`.
+    """The machines to provision, by kind, for tasks that fit neither now nor into `starting`.
 
-    `coming` is room on machines that are on their way; `left` what the round left over
-    on those that are up. It speaks for a zone, but is not counted on: by the time that
-    new machines are up, others have filled it. `offers` leaves out what the cloud has
-    just refused. Jobs come in their order of importance.
+    `unplaced` are jobs with the number of their tasks that have no place, the most important job
+    first. `starting` is capacity on machines that are about to be up; `free` what the placement
+    round left on those that are up. The latter counts for the choice of a zone only: by the time
+    that new machines are up, other tasks have taken it. `offers` leaves out the kinds for which
+    the cloud has just returned a capacity error.
     """
-    bins = list(coming)
-    provision: dict[tuple[str, str, bool], int] = {}
-    for job, count in short:
+    bins = list(starting)
+    needed: dict[OfferKey, int] = {}
+    for job, count in unplaced:
         spec = job.spec
         usable = [o for o in offers if suits(o, spec)]
-        mine = [b for b in bins if suits(b.offer, spec)]
+        suitable = [b for b in bins if suits(b.offer, spec)]
         if spec.one_zone:
-            beside = [b for b in left if suits(b.offer, spec)]
-            zone = next(iter(job.running_zones), None) or roomiest_zone(
-                spec, count, mine + beside, usable
+            suitable_free = [b for b in free if suits(b.offer, spec)]
+            zone = next(iter(job.running_zones), None) or best_zone(
+                spec, count, suitable + suitable_free, usable
             )
             usable = [o for o in usable if o.zone == zone]
-            mine = [b for b in mine if b.offer.zone == zone]
+            suitable = [b for b in suitable if b.offer.zone == zone]
         zones = dict(job.running_zones)
-        for held in mine:
-            fit = min(fits_in(held.free, spec), count, zone_room(spec, zones, held.offer.zone))
-            if fit > 0:
-                held.put(spec, fit)
-                zones[held.offer.zone] = zones.get(held.offer.zone, 0) + fit
-                count -= fit
-        while count > 0:
-            open_offers = [o for o in usable if zone_room(spec, zones, o.zone) > 0]
-            if not open_offers:
-                break
-            offer = min(open_offers, key=lambda o: (per_task(o, spec, count), o.spot, o.key))
-            fresh = Bin(offer)
-            fit = min(fits_in(fresh.free, spec), count, zone_room(spec, zones, offer.zone))
-            fresh.put(spec, fit)
-            bins.append(fresh)
-            zones[offer.zone] = zones.get(offer.zone, 0) + fit
-            provision[offer.key] = provision.get(offer.key, 0) + 1
-            count -= fit
+        count -= _fill_bins(spec, count, zones, suitable)
+        for new in _new_machines(spec, count, zones, usable):
+            bins.append(new)
+            needed[new.offer.key] = needed.get(new.offer.key, 0) + 1
     by_key = {offer.key: offer for offer in offers}
-    return [(by_key[key], count) for key, count in provision.items()]
-
-
-def zone_room(spec: JobSpec, zones: dict[str, int], zone: str) -> int:
-    """How many tasks of the job may still go into the zone."""
+    return [(by_key[key], count) for key, count in needed.items()]
+
+
+def _fill_bins(spec: JobSpec, count: int, zones: dict[str, int], bins: list[Bin]) -> int:
+    """Put up to `count` tasks into the bins and count them in `zones`; returns how many."""
+    placed = 0
+    for item in bins:
+        allowed = zone_allowance(spec, zones, item.offer.zone)
+        fit = min(fits_in(item.free, spec), count - placed, allowed)
+        if fit > 0:
+            item.put(spec, fit)
+            zones[item.offer.zone] = zones.get(item.offer.zone, 0) + fit
+            placed += fit
+    return placed
+
+
+def _new_machines(
+    spec: JobSpec, count: int, zones: dict[str, int], offers: list[MachineOffer]
+) -> list[Bin]:
+    """The cheapest new machines for `count` tasks, as far as the kinds and zones allow."""
+    machines = []
+    while count > 0:
+        allowed = [o for o in offers if zone_allowance(spec, zones, o.zone) > 0]
+        if not allowed:
+            break
+        offer = min(allowed, key=lambda o: (price_per_task(o, spec, count), o.spot, o.key))
+        new = Bin(offer)
+        fit = min(fits_in(new.free, spec), count, zone_allowance(spec, zones, offer.zone))
+        new.put(spec, fit)
+        zones[offer.zone] = zones.get(offer.zone, 0) + fit
+        machines.append(new)
+        count -= fit
+    return machines
+
+
+def zone_allowance(spec: JobSpec, zones: dict[str, int], zone: str) -> int:
+    """How many more tasks of the job may go into the zone; `zones` counts those in each."""
     if not spec.spread:
         return spec.tasks
     return (spec.tasks + 1) // 2 - zones.get(zone, 0)
 
 
-def roomiest_zone(
-    spec: JobSpec, count: int, bins: list[Bin], offers: list[MachineOffer]
-) -> str | None:
-    """The zone for all tasks: where most find room already, among those where all will: room that
-    is too small in a zone that has nothing more to rent would be waited for in vain."""
+def best_zone(spec: JobSpec, count: int, bins: list[Bin], offers: list[MachineOffer]) -> str | None:
+    """The zone for all tasks of a job: where most of them fit already, among the zones where all
+    of them will. In a zone with too little capacity and no machines to provision they would wait
+    in vain."""
     zones = list(dict.fromkeys([b.offer.zone for b in bins] + [o.zone for o in offers]))
     if len(zones) < 2:
         return next(iter(zones), None)
 
-    def room(zone: str) -> tuple[bool, int, bool]:
+    def rank(zone: str) -> tuple[bool, int, bool]:
         fits = sum(fits_in(b.free, spec) for b in bins if b.offer.zone == zone)
         more = any(o.zone == zone for o in offers)
         return more or fits >= count, min(fits, count), more
 
-    return max(zones, key=room, default=None)
+    return max(zones, key=rank, default=None)
--- a/peathall/autoscaling/usage.py
+++ b/peathall/autoscaling/usage.py
@@ -1,33 +1,39 @@
-"""Where rented machines' time goes: seconds by what the machine was doing, for the log."""
+"""Usage accounting: the cost of the machines by what they were doing, for the log."""
 
 from __future__ import annotations
 
-from collections import Counter
+import asyncio
+import logging
+from collections import Counter, defaultdict
 
-from peathall.cluster.job import AttemptPhase
+from peathall import constants
+from peathall.cluster.job import AttemptPhase, JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.protocol.cloud import MachineType
 
+log = logging.getLogger("peathall.autoscaling")
+
 
 def share_in_use(machine: Machine) -> dict[str, float]:
-    """Parts of the machine by activity, weighed by its scarcest kind of room."""
+    """Shares of the machine by activity, measured by its scarcest resource."""
     if machine.phase in (MachinePhase.STARTING, MachinePhase.RECOVERED):
-        return {"booting": 1.0}
-    parts: Counter[str] = Counter()
+        return {"startup": 1.0}
+    shares: defaultdict[str, float] = defaultdict(float)
     for attempt in machine.attempts.values():
         spec = attempt.job.spec
-        part = spec.gpus / machine.gpus if machine.gpus else spec.cpus / max(machine.cpus, 1e-9)
-        parts[label(attempt.phase)] += part  # type: ignore[assignment]
+        share = spec.gpus / machine.gpus if machine.gpus else spec.cpus / max(machine.cpus, 1e-9)
+        shares[activity(attempt.phase)] += share
     if machine.phase is MachinePhase.DRAINING:
-        parts["draining"] += max(0.0, 1.0 - sum(parts.values()))  # type: ignore[assignment]
+        shares["draining"] += max(0.0, 1.0 - sum(shares.values()))
     elif not machine.attempts:
-        parts["empty"] = 1
+        shares["idle"] = 1.0
     else:
-        parts["part-empty"] += max(0.0, 1.0 - sum(parts.values()))  # type: ignore[assignment]
-    return dict(parts)
+        shares["partly-idle"] += max(0.0, 1.0 - sum(shares.values()))
+    return dict(shares)
 
 
-def label(phase: AttemptPhase) -> str:
+def activity(phase: AttemptPhase) -> str:
     """What a machine's time is spent on while an attempt is in this phase."""
     if phase in (AttemptPhase.PLANNED, AttemptPhase.INTENDED, AttemptPhase.SENT):
         return "starting"
@@ -35,24 +41,63 @@
 
 
 class UsageAccounting:
-    """Money spent since the last line, split by activity."""
+    """Cost since the last log line, by activity."""
 
     def __init__(self) -> None:
-        self.spent: dict[str, float] = {}
+        self._cost: dict[str, float] = {}
 
     def add(self, machines: list[Machine], types: dict[str, MachineType], seconds: float) -> None:
-        """Count what all machines have been doing for so many seconds."""
+        """Count what the machines have been doing for so many seconds."""
         for machine in machines:
-            kind = types.get(machine.type)
-            if kind is None:
+            machine_type = types.get(machine.type)
+            if machine_type is None:
                 continue
-            price = (kind.spot_price if machine.spot else kind.price) * seconds / 3600.0
-            for name, part in share_in_use(machine).items():
-                self.spent[name] = self.spent.get(name, 0.0) + part * price
-
-    def line(self) -> str:
-        """Where the time went since the last line."""
-        total = sum(self.spent.values())
-        parts = sorted(self.spent.items(), key=lambda x: -x[1])
-        self.spent = {}
-        return f"spent {total:.2f}: " + ", ".join(f"{k} {v:.2f}" for k, v in parts)
+            price = machine_type.spot_price if machine.spot else machine_type.price
+            cost = price * seconds / 3600.0
+            for name, share in share_in_use(machine).items():
+                self._cost[name] = self._cost.get(name, 0.0) + share * cost
+
+    def flush(self) -> str:
+        """The cost since the last call, by activity, as text."""
+        total = sum(self._cost.values())
+        costs = sorted(self._cost.items(), key=lambda x: -x[1])
+        self._cost = {}
+        return f"cost {total:.2f}: " + ", ".join(f"{k} {v:.2f}" for k, v in costs)
+
+
+class UsageLog:
+    """Samples what all machines are doing, and logs the sums from time to time."""
+
+    def __init__(self, cluster: ClusterState) -> None:
+        self._cluster = cluster
+        self._accounting = UsageAccounting()
+        self._sampled_at = self._logged_at = asyncio.get_running_loop().time()
+
+    def sample(self, now: float) -> None:
+        """Take a sample if one is due, and log if that is due as well."""
+        if now - self._sampled_at < constants.USAGE_SAMPLE_S:
+            return
+        machines = list(self._cluster.machines.values())
+        self._accounting.add(machines, self._cluster.types, now - self._sampled_at)
+        self._sampled_at = now
+        if now - self._logged_at > constants.USAGE_LOG_S:
+            self._logged_at = now
+            self._log(machines)
+
+    def _log(self, machines: list[Machine]) -> None:
+        phases = Counter(m.phase.name.lower() for m in machines)
+        queued: Counter[str] = Counter()
+        for job in self._cluster.jobs.values():
+            if job.pending and job.phase is JobPhase.ACTIVE:
+                queued[job.spec.class_name] += len(job.pending)
+        up = [m for m in machines if m.phase is MachinePhase.UP]
+        log.info(
+            "%s; machines %s; cpus %.0f of %.0f, gpus %.0f of %.0f in use; tasks queued %s",
+            self._accounting.flush(),
+            dict(phases),
+            sum(m.cpus - m.free_cpus for m in up),
+            sum(m.cpus for m in up),
+            sum(m.gpus - m.free_gpus for m in up),
+            sum(m.gpus for m in up),
+            dict(queued),
+        )
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -115,8 +115,7 @@
             cloud,
             self.writer,
             self.workers,
-            self.is_active,
-            self._request_round,
+            self,
             operator.idle_hold_s,
             self.delegation.cloud if self.delegation is not None else None,
         )
--- /dev/null
+++ b/tests/unit/test_autoscaling.py
@@ -0,0 +1,236 @@
+"""Provisioning, listing and deleting machines by the hundred, against a stand-in of the cloud."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from peathall import constants
+from peathall.autoscaling.actions import CloudError, ProvisionRequest
+from peathall.autoscaling.autoscaler import Autoscaler
+from peathall.autoscaling.scale_out import OfferKey
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.placement.views import JobView, Plan
+from peathall.protocol.cloud import ListedMachine
+from peathall.workers.service import Workers
+from tests.unit.test_planner import spec
+from tests.unit.test_workers import new_autoscaler, new_workers, report
+
+
+class Cloud:
+    """Answers after a turn of the event loop; keeps the requests."""
+
+    def __init__(self) -> None:
+        self.deleted: list[list[str]] = []
+        self.provisioned: list[tuple[str, int]] = []
+        self.at_once = self.most_at_once = 0
+        self.no_answer = False
+
+    async def delete(self, machines: list[str]) -> None:
+        self.deleted.append(machines)
+
+    async def provision(self, request: ProvisionRequest) -> list[str]:
+        self.at_once += 1
+        self.most_at_once = max(self.most_at_once, self.at_once)
+        await asyncio.sleep(0)
+        self.at_once -= 1
+        if self.no_answer:
+            raise CloudError("no answer", sent=True)
+        self.provisioned.append((request.request, request.count))
+        return [f"{request.request}/{n}" for n in range(request.count)]
+
+
+def play(
+    test: Callable[[Autoscaler, Workers, Cloud], Awaitable[None]], idle_hold_s: float = 1e6
+) -> None:
+    async def run() -> None:
+        workers, cloud = new_workers(asyncio.get_running_loop().time()), Cloud()
+        await test(new_autoscaler(workers, cloud, None, idle_hold_s), workers, cloud)
+
+    asyncio.run(run())
+
+
+def unplaced(job: JobView, count: int) -> Plan:
+    """What a round decided that found no capacity for so many tasks of the job."""
+    plan = Plan()
+    plan.unplaced = [(job, count)]
+    return plan
+
+
+def listed(number: int, state: str = "running", age: float = 500.0) -> ListedMachine:
+    return ListedMachine(f"m-{number}", "", "g", "a", False, state, age)
+
+
+def add(workers: Workers, number: int, now: float) -> Machine:
+    """A machine that is up and has acknowledged an answer."""
+    for seq in (1, 2):
+        workers.handle_heartbeat(report(1, seq, workers.base, machine=f"m-{number}"), now)
+    return workers.cluster.machines[f"m-{number}"]
+
+
+def test_hundreds_of_machines_are_provisioned_at_once_in_full_batches() -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+        autoscaler.machine_list.reconcile([], 0.0)
+        waits = JobView(spec(id="j-1", tasks=260, cpus=8.0, gpus=0.0, ram=1.0), 260)
+        autoscaler.note_unplaced(unplaced(waits, 260))
+        await autoscaler.scale_out_step()
+        assert sorted(count for _, count in cloud.provisioned) == [10, 50, 50, 50, 50, 50]
+        assert len({request for request, _ in cloud.provisioned}) == 6
+        assert cloud.most_at_once == 6
+        await autoscaler.scale_out_step()
+        assert len(cloud.provisioned) == 6  # those that are coming are enough
+
+    play(test)
+
+
+def test_provision_requests_without_an_answer_are_repeated_before_any_other() -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+        autoscaler.machine_list.reconcile([], 0.0)
+        waits = JobView(spec(id="j-1", tasks=70, cpus=8.0, gpus=0.0, ram=1.0), 70)
+        autoscaler.note_unplaced(unplaced(waits, 70))
+        cloud.no_answer = True
+        for _ in range(3):
+            try:
+                await autoscaler.scale_out_step()
+            except CloudError:
+                pass
+        names = {entry.name for entry in autoscaler.provisioner.unanswered}
+        assert len(names) == len(autoscaler.provisioner.unanswered) == 2
+        cloud.no_answer = False
+        await autoscaler.scale_out_step()
+        assert {request for request, _ in cloud.provisioned} == names
+        assert not autoscaler.provisioner.unanswered
+
+    play(test)
+
+
+def test_a_deletion_never_names_more_than_the_protocol_allows() -> None:
+    """With 80 idle machines and 40 that failed, one request of 120 was refused for ever."""
+
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+        now = asyncio.get_running_loop().time()
+        for number in range(230):
+            add(workers, number, now - 1.0)
+        autoscaler.machine_list.reconcile([listed(n, "failed") for n in range(300, 390)], now)
+        await autoscaler.scale_in.step()
+        assert not autoscaler.scale_in.failed
+        assert not workers.cluster.machines
+        assert max(map(len, cloud.deleted)) == constants.DELETE_MAX
+        assert len({name for names in cloud.deleted for name in names}) == 230 + 90
+
+    play(test, idle_hold_s=0.0)
+
+
+def test_after_a_failover_a_listed_machine_is_not_judged_by_its_age() -> None:
+    """It runs, idle, and sends a heartbeat within seconds; its age once made it late to start."""
+
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+        now = workers.failover_at
+        add(workers, 1, now + 1.0)
+        autoscaler.machine_list.reconcile(
+            [listed(1), listed(2), listed(3, "starting", 20.0)], now + 1.0
+        )
+        assert not autoscaler.scale_in.machines_to_delete(now + 1.0)
+        idle = workers.cluster.machines["m-2"]
+        assert idle.phase is MachinePhase.RECOVERED
+        assert autoscaler.scale_out.is_expected(idle, now + 2.0)  # none in its place
+        for second in range(1, 16):
+            workers.tick(now + second)
+            for number in (1, 2) if second < 5 else (1,):
+                machine = workers.cluster.machines[f"m-{number}"]
+                seq = machine.sequence + 1
+                workers.handle_heartbeat(
+                    report(1, seq, workers.fencing_token, machine=machine.name), now + second
+                )
+        assert idle.is_schedulable
+        assert "m-4" not in workers.cluster.machines
+        # One that stays silent was perhaps deleted by the leader before; its silence decides.
+        autoscaler.machine_list.reconcile([listed(n, age=400.0) for n in (1, 2, 4)], now + 15.0)
+        for second in range(16, 31):
+            workers.tick(now + second)
+            for number in (1, 2):
+                machine = workers.cluster.machines[f"m-{number}"]
+                seq = machine.sequence + 1
+                workers.handle_heartbeat(
+                    report(1, seq, workers.fencing_token, machine=machine.name), now + second
+                )
+        assert [m.name for m in autoscaler.scale_in.machines_to_delete(now + 30.0)] == ["m-4"]
+
+    play(test)
+
+
+def test_a_leader_that_was_suspended_does_not_delete_the_machines_that_it_did_not_hear() -> None:
+    """Suspended for 28 s, it resumes with machines that all look silent. An outage of the state
+    service keeps its lease, so it may act; once a third had sent heartbeats, the others were
+    deleted."""
+
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+        now = workers.failover_at
+        machines = [add(workers, number, now + 1.0) for number in range(10)]
+        workers.tick(now + 1.0)
+        resumed = now + 29.0
+        for machine in machines[:4]:
+            workers.handle_heartbeat(
+                report(1, 3, workers.fencing_token, machine=machine.name), resumed
+            )
+        assert not autoscaler.scale_in.machines_to_delete(resumed + 0.1)
+        assert not workers.health.is_partitioned(resumed + 0.1)
+        for second in range(1, 17):
+            workers.tick(resumed + second)
+            for machine in machines[:9]:
+                seen = report(1, machine.sequence + 1, workers.fencing_token, machine=machine.name)
+                workers.handle_heartbeat(seen, resumed + second)
+        assert [m.name for m in autoscaler.scale_in.machines_to_delete(resumed + 16.5)] == [
+            machines[9].name
+        ]
+
+    play(test)
+
+
+def test_idle_machines_are_deleted_for_a_starving_job_after_a_capacity_error() -> None:
+    """They were held for five minutes for teams with guarantees, in a cloud without capacity."""
+
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+        now = workers.failover_at
+        for number in range(2 * constants.RETURNED_FOR_STARVING_JOB):
+            add(workers, number, now)
+            workers.cluster.machines[f"m-{number}"].idle_since = (
+                now - constants.RETURNED_FOR_STARVING_JOB_IDLE_S - number + 1
+            )
+        job = JobView(spec(id="j-1", zone="b"), 1, is_starving=True)
+        autoscaler.note_unplaced(unplaced(job, 1))
+        assert not autoscaler.scale_in.machines_to_delete(now)  # no capacity error yet
+        autoscaler.provisioner.capacity_errors[OfferKey("g", "b", False)] = now + 200.0
+        assert (
+            len(autoscaler.scale_in.machines_to_delete(now)) == constants.RETURNED_FOR_STARVING_JOB
+        )
+
+        def deleted_for_it(at: float) -> int:
+            shortage = autoscaler.scale_out.shortage(at)
+            return len(autoscaler.scale_in_policy.idle_for_starving_jobs(at, shortage))
+
+        assert not deleted_for_it(now + 1.0)  # first it must show whether that helps
+        assert (
+            deleted_for_it(now + constants.RETURNED_FOR_STARVING_JOB_GAP_S + 0.1)
+            == constants.RETURNED_FOR_STARVING_JOB
+        )  # sums are not exact
+        autoscaler.note_unplaced(unplaced(JobView(spec(id="j-2"), 1, is_starving=True), 1))
+        assert not deleted_for_it(
+            now + 3 * constants.RETURNED_FOR_STARVING_JOB_GAP_S
+        )  # it could use them itself
+
+    play(test)
+
+
+def test_a_machine_that_can_take_no_work_yet_is_not_idle() -> None:
+    """It was held for less than its second heartbeat takes: it was deleted before any work could
+    come, another was provisioned, and so on without end."""
+
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+        now = asyncio.get_running_loop().time()
+        workers.handle_heartbeat(report(1, 1, 0, machine="m-1"), now)
+        assert not autoscaler.scale_in.machines_to_delete(now + 4.0)
+        workers.handle_heartbeat(report(1, 2, workers.base, machine="m-1"), now + 5.0)
+        assert [m.name for m in autoscaler.scale_in.machines_to_delete(now + 5.1)] == ["m-1"]
+
+    play(test, idle_hold_s=1.0)
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -14,7 +14,7 @@
 from peathall.http.client import NoAnswerError
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
-from tests.unit.test_workers import new_fleet, new_workers, report
+from tests.unit.test_workers import new_autoscaler, new_workers, report
 
 LAST = 6.0  # s; when the silent machine was last heard
 
@@ -59,7 +59,7 @@
         workers.cluster.allocate(job, 0, workers.base + 1, silent, "round/1")
         workers.tick(LAST)
         workers.health.active_since = 0.0  # the leader has attended all the time
-        await test(workers, new_fleet(workers, None), silent)
+        await test(workers, new_autoscaler(workers, None), silent)
 
     asyncio.run(run())
 
@@ -74,41 +74,41 @@
             await asyncio.sleep(0)
 
 
-def deleted(fleet: Autoscaler, now: float) -> list[str]:
-    return [machine.name for machine in fleet._to_delete(now)]
+def deleted(autoscaler: Autoscaler, now: float) -> list[str]:
+    return [machine.name for machine in autoscaler.scale_in.machines_to_delete(now)]
 
 
 def test_a_machine_that_answers_no_probe_is_deleted_soon() -> None:
     """A replica was missed for 14 s before its silent machine was deleted."""
 
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 6.0)
         assert Line.asked == []  # its report may still come
         await pass_time(workers, LAST + 8.0)
         assert Line.asked == [silent.addr, silent.addr]
-        assert deleted(fleet, LAST + 8.0) == ["m-1"]
+        assert deleted(autoscaler, LAST + 8.0) == ["m-1"]
         assert workers.health.lost_s() > 8.0
 
     play(test)
 
 
 def test_a_machine_that_answers_is_waited_for() -> None:
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         Line.answers = True
         await pass_time(workers, LAST + 12.0)
-        assert Line.asked and deleted(fleet, LAST + 12.0) == []
+        assert Line.asked and deleted(autoscaler, LAST + 12.0) == []
         later = LAST + workers.health.lost_s() + 1.0
         await pass_time(workers, later)
-        assert deleted(fleet, later) == ["m-1"]  # alive, but it reaches no controller
+        assert deleted(autoscaler, later) == ["m-1"]  # alive, but it reaches no controller
 
     play(test)
 
 
 def test_a_report_ends_the_suspicion() -> None:
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 8.0)
         silent.last_heard = LAST + 8.5
-        assert deleted(fleet, LAST + 9.0) == []
+        assert deleted(autoscaler, LAST + 9.0) == []
         workers.tick(LAST + 9.0)
         assert silent.failed_probes == 0
 
@@ -118,14 +118,14 @@
 def test_silence_of_many_is_not_their_fault() -> None:
     """Nor is one that reports to another controller: the trouble lies between it and us."""
 
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 9.0, others_heard=5)
         assert Line.asked == []
         silent.failed_probes = 2
-        assert deleted(fleet, LAST + 9.0) == []
+        assert deleted(autoscaler, LAST + 9.0) == []
         await pass_time(workers, LAST + 9.0)
         workers.health.elsewhere = lambda: {"m-1": (1, 99)}
-        assert deleted(fleet, LAST + 9.0) == []
+        assert deleted(autoscaler, LAST + 9.0) == []
 
     play(test)
 
@@ -133,10 +133,10 @@
 def test_only_machines_with_replicas_are_asked() -> None:
     """Other work loses more by a deletion too many than it wins by one sooner."""
 
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         workers.cluster.release(next(iter(silent.attempts.values())), LAST)
         await pass_time(workers, LAST + 9.0)
         assert Line.asked == []
-        assert deleted(fleet, LAST + 9.0) == []
+        assert deleted(autoscaler, LAST + 9.0) == []
 
     play(test)
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -47,7 +47,7 @@
 from peathall.workers.image_cache import ImageCacheRecords
 from tests.unit.test_jobs import PARAMS, leader
 from tests.unit.test_store import LIMITS, FakeStore
-from tests.unit.test_workers import new_fleet, new_workers
+from tests.unit.test_workers import new_autoscaler, new_workers
 
 TERM = 7
 LEASE = 71
@@ -540,13 +540,13 @@
 
     async def test(store: RecordingStore) -> None:
         async with leading(store) as jobs:
-            fleet = new_fleet(new_workers(0.0), SimpleNamespace(types=types))
-            fleet.writer = jobs.writer
-            await fleet._refresh_types(0.0)
+            workers = new_workers(0.0)
+            autoscaler = new_autoscaler(workers, SimpleNamespace(types=types), jobs.writer)
+            await autoscaler.machine_types.refresh(0.0)
             await store.next_write("types")
-            fleet.cluster.types = {}
-            fleet.load_types(item("types", TYPES).value)
-            assert fleet.cluster.types == {"g": machine_type()}
+            workers.cluster.types = {}
+            autoscaler.load_types(item("types", TYPES).value)
+            assert workers.cluster.types == {"g": machine_type()}
 
     assert_written(play(test), {"types": [TYPES]})
 
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -66,13 +66,22 @@
     return Workers(cluster, settings, now, lambda: True, IgnoredEvents(), 9)
 
 
-def new_fleet(workers: Workers, cloud: Any) -> Autoscaler:
-    """Idle machines are held for ever, unless a test says otherwise; nothing is written."""
+class ActiveLeader:
+    """A leader that may act, and that ignores changes."""
+
+    def is_active(self) -> bool:
+        return True
+
+    def state_changed(self) -> None:
+        pass
+
+
+def new_autoscaler(
+    workers: Workers, cloud: Any, writer: Any = None, idle_hold_s: float = 1e6
+) -> Autoscaler:
+    """Idle machines are held for ever, unless a test says otherwise."""
     params = Params(workers.settings, StateSettings(9, 9, 8, 9), CloudSettings(4, 4), [Team("t")])
-    writer: Any = None
-    return Autoscaler(
-        workers.cluster, params, cloud, writer, workers, lambda: True, lambda: None, 1e6
-    )
+    return Autoscaler(workers.cluster, params, cloud, writer, workers, ActiveLeader(), idle_hold_s)
 
 
 def new_placement(workers: Workers, writer: Any) -> Placement:
@@ -261,10 +270,10 @@
 
 def test_machines_that_hear_nothing_or_are_only_late_copies_are_returned() -> None:
     def test(workers: Workers) -> None:
-        fleet = new_fleet(workers, None)
+        autoscaler = new_autoscaler(workers, None)
 
         def returned(now: float) -> list[str]:
-            return [m.name for m in fleet._to_delete(now)]
+            return [m.name for m in autoscaler.scale_in.machines_to_delete(now)]
 
         machine = known(workers)  # its last answer left at 6 s
         for number in range(2, 6):  # others, so that the fault is not ours
