--- a/peathall/duties/__init__.py
+++ b/peathall/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `duties`: who acts on the cloud, one holder for each duty at a time, under a lease."""
+"""Duties: actions that one controller at a time performs, owned by lease with fencing tokens."""
--- a/peathall/duties/board.py
+++ b/peathall/duties/board.py
@@ -1,4 +1,4 @@
-"""Who holds which duty, and whether duties are on, as the state service last told."""
+"""A cache of the holders' records: who holds which duty, and whether duties are on."""
 
 from __future__ import annotations
 
@@ -8,45 +8,48 @@
 import msgspec
 
 from peathall import constants
-from peathall.duties.model import HOLDER, MARK, PREFIX, Duty, HolderRecord
+from peathall.duties.model import DUTIES_PREFIX, ENABLED_KEY, HOLDER_PREFIX, Duty, HolderRecord
 from peathall.store.client import KeyValue, StoreClient, StoreError
 
 log = logging.getLogger("peathall.duties")
 
 
 class DutyBoard:
-    """The records of holders and the mark, kept by one watch for all duties."""
+    """The records of all duties, kept up to date by one watch.
+
+    It may lag behind the state service: what depends on a holder is made a condition of a commit.
+    """
 
     def __init__(self, store: StoreClient) -> None:
         self.store = store
         self.loop = asyncio.get_running_loop()
-        self.versions: dict[str, int] = {}
+        self.versions: dict[str, int] = {}  # of the records under duties/, by key
         self.holders: dict[Duty, HolderRecord] = {}
-        self.vacant_since: dict[Duty, float] = {}
+        self.vacant_since: dict[Duty, float] = {}  # steady time, of duties without a holder
         self.known = False  # read at least once
         self._changed = asyncio.Event()
 
     @property
-    def mark(self) -> int:
-        """Version of the mark; 0: duties are off."""
-        return self.versions.get(MARK, 0)
+    def enabled_version(self) -> int:
+        """Version of the record that duties are on; 0: they are off, or it is not read yet."""
+        return self.versions.get(ENABLED_KEY, 0)
 
     async def changed(self, timeout: float) -> None:
-        """Wait for news, or for so long."""
+        """Wait for a change, but no longer than `timeout` seconds."""
         try:
             await asyncio.wait_for(self._changed.wait(), timeout)
         except TimeoutError:
             pass
 
     async def run(self) -> None:
-        """Read, and then follow the news."""
+        """Read the records, then apply watch events, for ever."""
         while True:
             try:
-                items, revision = await self.store.scan(PREFIX)
+                items, revision = await self.store.scan(DUTIES_PREFIX)
                 self._load(items)
                 await self._follow(revision)
             except StoreError as exc:
-                log.debug("reading who holds what: %s", exc)
+                log.debug("reading the records of duties failed and is repeated: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
     def _load(self, items: list[KeyValue]) -> None:
@@ -58,18 +61,18 @@
             if duty not in self.holders:
                 self.vacant_since.setdefault(duty, self.loop.time())
         self.known = True
-        self._tell()
+        self._notify()
 
     async def _follow(self, revision: int) -> None:
-        """Until the service no longer knows what changed since then."""
-        while (news := await self.store.watch(PREFIX, revision)) is not None:
-            revision, changes = news
-            for change in changes:
-                self._apply(change.key, None if change.deleted else change.value, change.version)
-            if changes:
-                self._tell()
-
-    def _tell(self) -> None:
+        """Returns when the service no longer has the changes since the revision."""
+        while (update := await self.store.watch(DUTIES_PREFIX, revision)) is not None:
+            revision, events = update
+            for event in events:
+                self._apply(event.key, None if event.deleted else event.value, event.version)
+            if events:
+                self._notify()
+
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -78,19 +81,15 @@
             self.versions.pop(key, None)
         else:
             self.versions[key] = version
-        if not key.startswith(HOLDER):
+        if not key.startswith(HOLDER_PREFIX):
             return
         try:
-            duty = Duty(key.removeprefix(HOLDER))
+            duty = Duty(key.removeprefix(HOLDER_PREFIX))
         except ValueError:
-            return  # of a later version
+            return  # a duty of a later version
         if value is None:
             self.holders.pop(duty, None)
             self.vacant_since[duty] = self.loop.time()
         else:
             self.holders[duty] = msgspec.convert(value, HolderRecord)
             self.vacant_since.pop(duty, None)
-
-    def held_by(self, member: str) -> int:
-        """How many duties the member holds."""
-        return sum(record.member == member for record in self.holders.values())
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -1,9 +1,9 @@
-"""One controller's claim on one duty: taken when it is free, renewed, released.
+"""Ownership of one duty by lease: claimed when it has no holder, renewed, released.
 
-The holder's record hangs on a lease of the state service and its token is counted up in the same
-commit, so no token is given twice. What a holder commits is conditional on the version of that
-record: once the lease has ended, or another holds the duty, nothing new of it is accepted,
-whatever its clocks say. The lease counted here only keeps it from trying in vain.
+The holder's record is bound to a lease of the state service, and the fencing token is raised in
+the same commit, so no token is given twice. What a holder commits is conditional on the version
+of that record: once the lease has expired, or another holds the duty, nothing new of it is
+accepted, whatever its clocks say. The lease measured here only saves it requests in vain.
 """
 
 from __future__ import annotations
@@ -11,14 +11,16 @@
 import asyncio
 import logging
 import random
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
 
 import msgspec
 
 from peathall import constants
 from peathall.duties.board import DutyBoard
 from peathall.duties.model import (
-    MARK,
+    ENABLED_KEY,
     Duty,
     DutyPhase,
     Handover,
@@ -33,17 +35,30 @@
 log = logging.getLogger("peathall.duties")
 
 
+@dataclass(frozen=True, slots=True)
 class Tenure:
-    """What a claim gives: the token, the holder's record and its lease."""
+    """One ownership of a duty, from a successful claim to the end of its lease."""
 
-    def __init__(self, holder: HolderRecord, record: GuardKey, lease: LeaderLease) -> None:
-        self.holder = holder
-        self.record = record
-        self.lease = lease
+    holder: HolderRecord  # with the fencing token
+    record: GuardKey  # the same as it is stored: every commit is conditional on it
+    lease: LeaderLease  # until when the holder may act, by its own clock
+
+
+class Claimant(Protocol):
+    """The controller on whose behalf duties are claimed."""
+
+    def may_claim(self) -> bool:
+        """Whether a duty without a holder may be claimed at present."""
+
+    def claim_delay_s(self) -> float:
+        """Seconds for which a duty without a holder is left to other controllers."""
+
+    async def hold(self, duty: Duty, tenure: Tenure) -> None:
+        """Perform the duty, until cancelled."""
 
 
 class DutyClaim:
-    """Claims a duty when it may, renews its lease, and gives it up."""
+    """Claims a duty when it may, renews its lease, and releases it."""
 
     def __init__(
         self,
@@ -54,10 +69,9 @@
         lease_s: float,
         wall: Callable[[], float],
         rng: random.Random,
-        may_claim: Callable[[], bool],
-        reluctance_s: Callable[[], float],
-        hold: Callable[[Tenure], Awaitable[None]],
+        claimant: Claimant,
     ) -> None:
+        """`name`: of this controller; `lease_s`: length of the lease; `wall`: the wall clock."""
         self.duty = duty
         self.name = name
         self.store = store
@@ -65,9 +79,7 @@
         self.lease_s = lease_s
         self.wall = wall
         self.rng = rng
-        self.may_claim = may_claim
-        self.reluctance_s = reluctance_s  # others that are as good may claim it before
-        self.hold = hold  # runs as long as we hold the duty
+        self.claimant = claimant
         self.loop = asyncio.get_running_loop()
         self.phase = DutyPhase.FOLLOWING
         self.tenure: Tenure | None = None
@@ -80,49 +92,61 @@
             self.phase = phase
 
     def may_act(self) -> bool:
-        """Whether our lease on the duty lives, by our clock."""
-        holding = self.phase in (DutyPhase.HOLDING, DutyPhase.UNSURE)
+        """Whether our lease on the duty is valid, by our clock."""
+        holding = self.phase in (DutyPhase.HOLDING, DutyPhase.RENEWAL_UNANSWERED)
         return holding and self.tenure is not None and self.tenure.lease.is_valid(self.loop.time())
 
     def may_begin(self) -> bool:
-        """Whether something new may be begun: not while a renewal is without an answer."""
+        """Whether a new action may begin: not while the latest renewal is unanswered."""
         return self.phase is DutyPhase.HOLDING and self.may_act()
 
     async def run(self) -> None:
-        """Follow, claim and hold in turns, for ever."""
+        """Follow, claim and hold in turn, for ever."""
         while True:
             try:
                 await self._follow()
             except StoreError as exc:
-                log.debug("claiming %s: %s", self.duty.value, exc)
+                log.debug("claiming duty %s failed and is repeated: %s", self.duty.value, exc)
                 self._enter(DutyPhase.FOLLOWING)
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
     async def _follow(self) -> None:
         holder = self.board.holders.get(self.duty)
         if holder is not None and holder.member == self.name:
-            # An earlier life of ours, or a claim whose answer was lost: nobody acts on it.
-            await self._end(holder.lease)
+            # Claimed before this process started, or by a claim whose answer was lost: no
+            # executor performs it.
+            await self._revoke(holder.lease)
             await self.board.changed(constants.STORE_RETRY_S)
-        elif holder is None and self.board.known and self.board.mark and self.may_claim():
+        elif (
+            holder is None
+            and self.board.known
+            and self.board.enabled_version
+            and self.claimant.may_claim()
+        ):
             if await self._stays_vacant():
                 await self._claim()
         else:
             await self.board.changed(constants.DUTY_LOOK_S)
 
     async def _stays_vacant(self) -> bool:
-        """Whether nobody else claims it within the time that we leave to others."""
+        """Whether nobody else claims it within the time that is left to others."""
         began = self.loop.time()
         jitter = self.rng.random() * constants.CAMPAIGN_JITTER_S
-        while self.duty not in self.board.holders and self.board.mark and self.may_claim():
-            # Asked anew: whoever won the lead learns of the mark before it learns that it won.
-            left = began + jitter + self.reluctance_s() - self.loop.time()
-            if left <= constants.DUTY_CLAIM_STEP_S:
+        while (
+            self.duty not in self.board.holders
+            and self.board.enabled_version
+            and self.claimant.may_claim()
+        ):
+            # The delay is asked for each time: a new leader is told that duties are on before it
+            # is told that it leads.
+            left_s = began + jitter + self.claimant.claim_delay_s() - self.loop.time()
+            if left_s <= constants.DUTY_CLAIM_STEP_S:
                 return True
-            await self.board.changed(left)
+            await self.board.changed(left_s)
         return False
 
     async def _claim(self) -> None:
+        """Raise the token and write the holder's record in one commit, on a new lease."""
         self._enter(DutyPhase.CLAIMING)
         item = await self.store.get(self.duty.token_key, first=True)
         before = msgspec.convert(item.value, TokenRecord) if item is not None else TokenRecord()
@@ -132,19 +156,19 @@
         token = before.token + 1
         holder = HolderRecord(self.name, token, lease_id, self.wall(), vacant_s)
         latest = [*before.latest, Handover(self.name, token, round(vacant_s, 3))]
-        counted = TokenRecord(token, latest[-constants.DUTY_HANDOVERS_KEPT :])
+        token_record = TokenRecord(token, latest[-constants.DUTY_HANDOVERS_KEPT :])
         conditions = {
             self.duty.holder_key: 0,
             self.duty.token_key: item.version if item is not None else 0,
-            MARK: self.board.mark,
+            ENABLED_KEY: self.board.enabled_version,
         }
         value = to_value(holder)
         puts = [Put(self.duty.holder_key, value, lease_id)]
-        puts.append(Put(self.duty.token_key, to_value(counted)))
+        puts.append(Put(self.duty.token_key, to_value(token_record)))
         try:
             version = await self.store.commit(conditions, [*puts])
         except (ConflictError, LeaseExpiredError):
-            await self._end(lease_id)
+            await self._revoke(lease_id)
             self._enter(DutyPhase.FOLLOWING)
             return
         record = GuardKey(self.duty.holder_key, value, version, lease_id)
@@ -154,10 +178,10 @@
         self.tenure = tenure
         self._release = asyncio.Event()
         self._enter(DutyPhase.HOLDING)
-        log.info("holding %s under token %d", self.duty.value, tenure.holder.token)
+        log.info("duty %s: claimed with token %d", self.duty.value, tenure.holder.token)
         tasks = [
             asyncio.create_task(self._renew(tenure)),
-            asyncio.ensure_future(self.hold(tenure)),
+            asyncio.ensure_future(self.claimant.hold(self.duty, tenure)),
             asyncio.create_task(self._release.wait()),
         ]
         try:
@@ -168,11 +192,12 @@
                 task.cancel()
             for result in await asyncio.gather(*tasks, return_exceptions=True):
                 if isinstance(result, Exception):
-                    log.error("holding %s ended by an error", self.duty.value, exc_info=result)
+                    log.error("duty %s: performing it failed", self.duty.value, exc_info=result)
         await self.give_up()
 
     async def _renew(self, tenure: Tenure) -> None:
-        """Until the lease is gone; an outage, after which it has its full time, is waited out."""
+        """Returns when the lease has expired. An outage of the state service is waited out: after
+        it, every lease has its full time again."""
         while True:
             pause = self.lease_s / constants.DUTY_RENEWALS
             sent = self.loop.time()
@@ -181,11 +206,11 @@
                 tenure.lease.record_renewal(sent)
                 self._enter(DutyPhase.HOLDING)
             except LeaseExpiredError:
-                log.info("the lease on %s is gone", self.duty.value)
+                log.info("duty %s: our lease has expired", self.duty.value)
                 return
             except StoreError as exc:
-                log.debug("renewing %s: %s", self.duty.value, exc)
-                self._enter(DutyPhase.UNSURE)
+                log.debug("duty %s: renewing the lease failed: %s", self.duty.value, exc)
+                self._enter(DutyPhase.RENEWAL_UNANSWERED)
                 pause = constants.STORE_RETRY_S
             await asyncio.sleep(pause)
 
@@ -194,21 +219,22 @@
         self._release.set()
 
     def release(self) -> None:
-        """Give the duty up, so that another can take it at once."""
+        """Begin to give the duty up, so that another can claim it at once."""
         self._release.set()
 
     async def give_up(self) -> None:
-        """End our lease, if we have one. Also one that was lost: it may live on in the service."""
+        """Revoke our lease, if we have one. Also after a commit was refused: the lease may still
+        be valid in the state service."""
         tenure, self.tenure = self.tenure, None
         if tenure is None:
             return
         self._enter(DutyPhase.RELEASING)
-        await self._end(tenure.holder.lease)
-        log.info("no longer holding %s under token %d", self.duty.value, tenure.holder.token)
+        await self._revoke(tenure.holder.lease)
+        log.info("duty %s: released token %d", self.duty.value, tenure.holder.token)
         self._enter(DutyPhase.FOLLOWING)
 
-    async def _end(self, lease_id: int) -> None:
+    async def _revoke(self, lease_id: int) -> None:
         try:
             await self.store.revoke_lease(lease_id)
         except StoreError as exc:
-            log.debug("ending a lease on %s: %s", self.duty.value, exc)
+            log.debug("duty %s: revoking lease %d failed: %s", self.duty.value, lease_id, exc)
--- a/peathall/duties/delegate.py
+++ b/peathall/duties/delegate.py
@@ -1,108 +1,93 @@
-"""The leader's side: what is to be done at the cloud goes to the holders of these duties."""
+"""The leader's side of scale-out and scale-in while duties are on: requests to the holders."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
-from collections.abc import Awaitable, Callable
+from collections.abc import Callable
 
 from peathall import constants
 from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
-from peathall.duties.model import ActAnswer, ActRequest, Deletion, Duty, HolderRecord, Outcome
-
-log = logging.getLogger("peathall.duties")
-
-# Asks a holder; NoAnswerError is answered as PENDING by who provides it.
-Ask = Callable[[HolderRecord, ActRequest], Awaitable[ActAnswer]]
-
-
-class WaitingReasons:
-    """Why work waits, by duty, as it was last found out."""
-
-    def __init__(self) -> None:
-        self._loop = asyncio.get_running_loop()
-        self._found: dict[Duty, tuple[str, float]] = {}
-
-    def note(self, duty: Duty, why: str) -> None:
-        """It waits, and this is why."""
-        self._found[duty] = (why, self._loop.time())
-
-    def clear(self, duty: Duty) -> None:
-        """It waits no longer."""
-        self._found.pop(duty, None)
-
-    def lately(self) -> dict[str, str]:
-        """Reasons that were found out lately: what waits is tried again every second."""
-        now = self._loop.time()
-        return {
-            duty.value: why
-            for duty, (why, at) in self._found.items()
-            if now - at < constants.DUTY_WAITING_S
-        }
+from peathall.duties.holders import Holders
+from peathall.duties.model import (
+    ActionRequest,
+    ActionResult,
+    Deletion,
+    Duty,
+    HolderRecord,
+    Outcome,
+)
 
 
 class DelegatedCloud:
-    """Rents and deletes by way of the holders; what has no holder waits."""
-
-    def __init__(
-        self,
-        term: int,
-        lead_version: Callable[[], int],
-        holder: Callable[[Duty], HolderRecord | None],
-        ask: Ask,
-    ) -> None:
-        self.term = term
-        self.lead_version = lead_version
-        self.holder = holder
-        self.ask = ask
-        self.waiting = WaitingReasons()
-        self._number = 0
-        self._deletion: Deletion | None = None  # without an answer yet
-        self._turn = asyncio.Semaphore(constants.DUTY_ASKS_AT_ONCE)
-
-    async def provision(self, rental: ProvisionRequest) -> list[str]:
-        """Machines rented by the holder of renting."""
-        holder = self._holder(Duty.RENTING)
-        request = ActRequest(
-            Duty.RENTING, holder.token, self.term, self.lead_version(), rental=rental
+    """CloudActions by way of the duties' holders; without a holder they raise CloudError."""
+
+    def __init__(self, term: int, leader_version: Callable[[], int], holders: Holders) -> None:
+        """`leader_version`: version of the leader key, on which the holders' commits depend."""
+        self._term = term
+        self._leader_version = leader_version
+        self._holders = holders
+        self._number = 0  # of the latest deletion
+        self._deletion: Deletion | None = None  # requested, and not answered yet
+        self._concurrency = asyncio.Semaphore(constants.DUTY_ASKS_AT_ONCE)
+
+    async def provision(self, request: ProvisionRequest, /) -> list[str]:
+        """Names of the machines that the holder of scale-out has provisioned; raises CloudError
+        or NoCapacityError."""
+        holder = self._holder(Duty.SCALE_OUT)
+        result = await self._ask(
+            holder,
+            ActionRequest(
+                Duty.SCALE_OUT, holder.token, self._term, self._leader_version(), provision=request
+            ),
         )
-        answer = await self._asked(holder, request)
-        if answer.outcome is Outcome.NO_CAPACITY:
+        if result.outcome is Outcome.NO_CAPACITY:
             raise NoCapacityError
-        return answer.machines
+        return result.machines
 
-    async def delete(self, machines: list[str]) -> None:
-        """Deleted by the holder of returning; an earlier request without an answer goes first."""
+    async def delete(self, machines: list[str], /) -> None:
+        """Returns once the holder of scale-in has deleted them; raises CloudError. A request that
+        was not answered yet goes first, under its own name."""
         waiting = set(machines)
         while self._deletion is not None or waiting:
             if self._deletion is None:
                 self._number += 1
-                # The term makes the name unique for good, as a rental's.
-                name = f"d-{self.term}-{self._number}"
+                # The term makes the name unique for good, as that of a provision request.
+                name = f"d-{self._term}-{self._number}"
                 self._deletion = Deletion(name, [m for m in machines if m in waiting])
             deletion = self._deletion
-            holder = self._holder(Duty.RETURNING)
-            request = ActRequest(
-                Duty.RETURNING, holder.token, self.term, self.lead_version(), deletion=deletion
+            holder = self._holder(Duty.SCALE_IN)
+            await self._ask(
+                holder,
+                ActionRequest(
+                    Duty.SCALE_IN,
+                    holder.token,
+                    self._term,
+                    self._leader_version(),
+                    deletion=deletion,
+                ),
             )
-            await self._asked(holder, request)
             self._deletion = None
             waiting -= set(deletion.machines)
 
     def _holder(self, duty: Duty) -> HolderRecord:
-        holder = self.holder(duty)
+        holder = self._holders.current(duty)
         if holder is None:
-            self.waiting.note(duty, "nobody holds the duty")
-            raise CloudError(f"{duty.value} waits: nobody holds the duty", sent=False)
+            self._holders.waiting.note(duty, "nobody holds the duty")
+            raise CloudError(f"duty {duty.value} waits: no controller holds it", sent=False)
         return holder
 
-    async def _asked(self, holder: HolderRecord, request: ActRequest) -> ActAnswer:
-        async with self._turn:
-            answer = await self.ask(holder, request)
-        if answer.outcome in (Outcome.DONE, Outcome.NO_CAPACITY):
-            self.waiting.clear(request.duty)
-            return answer
-        self.waiting.note(request.duty, f"{holder.member}: {answer.why}")
-        # What was refused was perhaps committed when it was asked for before.
-        sent = answer.outcome is Outcome.PENDING
-        raise CloudError(f"{request.duty.value} waits for {holder.member}: {answer.why}", sent)
+    async def _ask(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
+        async with self._concurrency:
+            result = await self._holders.ask(holder, request)
+        if result.outcome in (Outcome.DONE, Outcome.NO_CAPACITY):
+            self._holders.waiting.clear(request.duty)
+            return result
+        self._holders.waiting.note(request.duty, f"{holder.member}: {result.why}")
+        # What is refused now may have been committed when it was requested before: only PENDING
+        # tells of this request that it may be carried out.
+        sent = result.outcome is Outcome.PENDING
+        raise CloudError(
+            f"duty {request.duty.value}: {request.name} is not done by its holder "
+            f"{holder.member}: {result.why}",
+            sent,
+        )
--- /dev/null
+++ b/peathall/duties/delegation.py
@@ -0,0 +1,31 @@
+"""How a leader gets its work done by the duties' holders, for one term."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass
+
+from peathall.duties.delegate import DelegatedCloud
+from peathall.duties.holders import Holders
+from peathall.duties.writes import DelegatedWrites
+
+
+@dataclass(frozen=True, slots=True)
+class Delegation:
+    """A leader's ways to the holders, for one term."""
+
+    cloud: DelegatedCloud
+    compaction: DelegatedWrites
+    cleanup: DelegatedWrites
+    holders: Holders
+
+    async def run(self) -> None:
+        """Send deferred writes to the holders, until cancelled at the end of the term."""
+        async with asyncio.TaskGroup() as tasks:
+            tasks.create_task(self.compaction.run())
+            tasks.create_task(self.cleanup.run())
+
+    def act_directly(self) -> None:
+        """Duties are off: the leader's writer gets the writes that wait."""
+        self.compaction.act_directly()
+        self.cleanup.act_directly()
--- a/peathall/duties/gate.py
+++ b/peathall/duties/gate.py
@@ -1,7 +1,8 @@
-"""Who may lead while duties are on: a controller that would act besides a holder may not.
+"""Which controllers may lead while duties are on: none that would act beside the holders.
 
-The mark is a condition of every campaign's commit, so it is set and seen in one step with the
-lead: a controller whose operator has not switched duties on can't lead while the mark stands.
+The record that duties are on is a condition of every campaign's commit, so it is written and
+checked in one step with the leader key: a controller whose operator has not switched duties on
+cannot become leader while that record exists.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 import logging
 
 from peathall.config.modes import Mode
-from peathall.duties.model import MARK
+from peathall.duties.model import ENABLED_KEY
 from peathall.leadership.election import CampaignTerms
 from peathall.store.client import Put, StoreClient
 
@@ -17,29 +18,30 @@
 
 
 class DutyGate:
-    """The terms on which this controller stands for election."""
+    """The terms on which this controller campaigns."""
 
     def __init__(self, store: StoreClient, mode: Mode) -> None:
         self.store = store
         self.mode = mode
-        self._told = False
+        self._logged = False
 
     async def terms(self) -> CampaignTerms:
-        """Conditions and puts of a campaign's commit."""
+        """Conditions and puts of a campaign's commit; raises StoreError."""
         if self.mode is Mode.OFF:
-            return CampaignTerms({MARK: 0})
-        item = await self.store.get(MARK, first=True)
+            return CampaignTerms({ENABLED_KEY: 0})
+        item = await self.store.get(ENABLED_KEY, first=True)
         if item is not None:
-            return CampaignTerms({MARK: item.version}, delegates=True)
+            return CampaignTerms({ENABLED_KEY: item.version}, delegates=True)
         if self.mode is Mode.RETIRING:
-            return CampaignTerms({MARK: 0})
-        return CampaignTerms({MARK: 0}, [Put(MARK, {"on": True})], delegates=True)
+            return CampaignTerms({ENABLED_KEY: 0})
+        return CampaignTerms({ENABLED_KEY: 0}, [Put(ENABLED_KEY, {"on": True})], delegates=True)
 
     def refused(self, failed: list[str]) -> bool:
-        """Whether the mark kept a campaign from winning, which only a switch by operators ends."""
-        if self.mode is not Mode.OFF or MARK not in failed:
+        """Whether a campaign failed since duties are on, which only operators can change; `failed`
+        are the keys whose conditions did not hold."""
+        if self.mode is not Mode.OFF or ENABLED_KEY not in failed:
             return False
-        if not self._told:
-            log.error("duties are on, and off at this controller: it does not lead")
-            self._told = True
+        if not self._logged:
+            log.error("this controller does not campaign: duties are on, but off in its settings")
+            self._logged = True
         return True
--- a/peathall/duties/model.py
+++ b/peathall/duties/model.py
@@ -1,9 +1,16 @@
-"""Duties, their records in the state service, and what leader and holders tell one another.
+"""Duties: their records in the state service, and the messages between leader and holders.
 
-duties/on            the mark: while it stands, only holders act on the cloud
-duties/holder/DUTY   who holds the duty, on a lease: it goes when the lease ends
-duties/token/DUTY    the fencing token, counted up with every claim, durable
-duty-act/DUTY/ID     an action that was committed and is not known to be finished
+A duty is a type of action that only one controller at a time performs: its holder. Ownership is
+by lease, with fencing tokens: the holder's record lives as long as the holder's lease in the state
+service, and every claim raises the duty's token. These are the records:
+
+duties/on            while it exists, duties are on: only holders act on the cloud
+duties/holder/DUTY   who holds the duty; deleted by the state service when the lease expires
+duties/token/DUTY    the highest fencing token so far; never deleted
+duty-act/DUTY/NAME   the intent of an action: committed, and not known to be finished
+
+Fields, keys and values are stored and sent to other controllers; where a name here differs, the
+spelling that is stored or sent is given by `field(name=...)`.
 """
 
 from __future__ import annotations
@@ -12,63 +19,63 @@
 from typing import Any
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 from peathall.autoscaling.actions import ProvisionRequest
 
-PREFIX = "duties/"
-MARK = "duties/on"
-HOLDER = "duties/holder/"
-TOKEN = "duties/token/"
-ACT = "duty-act/"
+DUTIES_PREFIX = "duties/"
+ENABLED_KEY = "duties/on"
+HOLDER_PREFIX = "duties/holder/"
+TOKEN_PREFIX = "duties/token/"
+ACTION_PREFIX = "duty-act/"
 
 
 class Duty(Enum):
-    """What only one controller at a time may do."""
+    """The duties; operators, the state service and other controllers know them by the value."""
 
-    RENTING = "renting"
-    RETURNING = "returning"
-    RECLAIMING = "reclaiming"  # records of rounds give back what is surely gone
-    CLEANUP = "cleanup"  # archiving, and dropping records that nothing needs
+    SCALE_OUT = "renting"  # provisioning machines
+    SCALE_IN = "returning"  # deleting machines
+    COMPACTION = "reclaiming"  # records of rounds, without the attempts that no longer exist
+    CLEANUP = "cleanup"  # archiving jobs, and deleting records that nothing needs
 
     @property
     def holder_key(self) -> str:
         """Key of the record that names the holder."""
-        return HOLDER + self.value
+        return HOLDER_PREFIX + self.value
 
     @property
     def token_key(self) -> str:
-        """Key of the record that counts the claims."""
-        return TOKEN + self.value
+        """Key of the record of the fencing token."""
+        return TOKEN_PREFIX + self.value
 
     @property
-    def act_prefix(self) -> str:
-        """Prefix of the records of unfinished actions."""
-        return f"{ACT}{self.value}/"
+    def action_prefix(self) -> str:
+        """Prefix of the keys of unfinished actions."""
+        return f"{ACTION_PREFIX}{self.value}/"
 
 
 class DutyPhase(Enum):
     """A controller's part in one duty."""
 
-    FOLLOWING = auto()  # another holds it, or nobody may
+    FOLLOWING = auto()  # another holds it, or it may not be claimed
     CLAIMING = auto()  # a claim is under way
     HOLDING = auto()
-    UNSURE = auto()  # holding, but the latest renewal got no answer: nothing new is begun
+    RENEWAL_UNANSWERED = auto()  # holding, but with the latest renewal unanswered: nothing begins
     RELEASING = auto()  # giving it up in order
 
 
 class HolderRecord(Struct, frozen=True):
     """Who holds a duty, and since when."""
 
-    member: str
-    token: int
-    lease: int
-    since: float  # time of day
-    vacant_s: float  # for how long the claimant had seen it vacant
+    member: str  # name of the controller
+    token: int  # fencing token of this claim
+    lease: int  # id of the holder's lease in the state service
+    since: float  # seconds since the epoch, by the holder's wall clock
+    vacant_s: float  # seconds for which the claimant had seen the duty without a holder
 
 
 class Handover(Struct, frozen=True):
-    """An earlier claim, for operators."""
+    """An earlier claim, for operators; the fields are those of HolderRecord."""
 
     member: str
     token: int
@@ -76,14 +83,14 @@
 
 
 class TokenRecord(Struct, frozen=True):
-    """The highest fencing token that was given, and the latest claims."""
+    """The highest fencing token so far, and the latest claims."""
 
     token: int = 0
     latest: list[Handover] = []
 
 
 class Deletion(Struct, frozen=True):
-    """Machines to be deleted; from its commit on they are condemned."""
+    """Machines to be deleted; once the intent is committed, nothing starts on them."""
 
     name: str
     machines: list[str]
@@ -96,69 +103,69 @@
     value: Any
 
 
-class StoreWork(Struct, frozen=True):
-    """A transaction: versions on which it depends, and what it changes."""
+class StoreTransaction(Struct, frozen=True):
+    """A compare-and-swap in the state service."""
 
     name: str
-    conditions: dict[str, int]
+    conditions: dict[str, int]  # key -> the version that it must have; 0: none
     puts: list[StoredValue]
-    drops: list[str]
+    deletes: list[str] = field(name="drops")
 
 
-class ActRecord(Struct, frozen=True):
-    """An action as it was committed, before its side effect."""
+class ActionIntent(Struct, frozen=True):
+    """An action as it is committed before its side effect; one of the two actions is set."""
 
-    token: int
-    term: int
-    rental: ProvisionRequest | None = None
+    token: int  # of the holder that committed it
+    term: int  # of the leader that asked for it
+    provision: ProvisionRequest | None = field(name="rental", default=None)
     deletion: Deletion | None = None
 
 
-class ActRequest(Struct, frozen=True):
-    """A leader's order to the holder of a duty."""
+class ActionRequest(Struct, frozen=True):
+    """A leader's request to the holder of a duty; one of the three actions is set."""
 
     duty: Duty
-    token: int  # of the holder that is meant
+    token: int  # of the holder that it is addressed to
     term: int
-    lead_version: int  # of the leader's record: its successor's has another
-    rental: ProvisionRequest | None = None
+    leader_version: int = field(name="lead_version")  # of the leader key; a successor's differs
+    provision: ProvisionRequest | None = field(name="rental", default=None)
     deletion: Deletion | None = None
-    write: StoreWork | None = None
+    write: StoreTransaction | None = None
 
     @property
     def name(self) -> str:
-        """Of the action; the same whenever it is asked for."""
-        if self.rental is not None:
-            return self.rental.request
+        """Name of the action; the same whenever the request is repeated."""
+        if self.provision is not None:
+            return self.provision.request
         named = self.deletion or self.write
         return named.name if named is not None else ""
 
-    def meant_for(self, holder: HolderRecord) -> ActRequest:
-        """The same, for this holder of the duty."""
+    def addressed_to(self, holder: HolderRecord) -> ActionRequest:
+        """The same request, for this holder of the duty."""
         return msgspec.structs.replace(self, token=holder.token)
 
 
 class Outcome(Enum):
-    """What became of an order."""
+    """What became of a request."""
 
     DONE = "done"
     NO_CAPACITY = "no-capacity"
     CONFLICT = "conflict"  # a condition of a transaction does not hold
-    INVALID = "invalid"  # the state service will never take such a transaction
-    PENDING = "pending"  # committed, or perhaps committed: ask again under the same name
-    REFUSED = "refused"  # nothing of this order was committed
+    INVALID = "invalid"  # the state service will never accept such a transaction
+    PENDING = "pending"  # committed, or perhaps committed: repeat it under the same name
+    REFUSED = "refused"  # nothing of this request was committed
 
 
-class ActAnswer(Struct, frozen=True):
-    """A holder's answer."""
+class ActionResult(Struct, frozen=True):
+    """A holder's answer to a request."""
 
     outcome: Outcome
-    machines: list[str] = []
-    why: str = ""
+    machines: list[str] = []  # that were provisioned
+    why: str = ""  # for operators, unless the outcome is DONE
     revision: int = 0  # of a transaction
-    failed: list[str] = []  # keys that did not have the version that was the condition
+    failed: list[str] = []  # keys that did not have the version of their condition
 
 
 def to_value(record: Struct) -> Any:
-    """The value under which a record is stored."""
+    """The value as which a record is stored, or sent to another controller."""
     return msgspec.to_builtins(record)
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -1,12 +1,10 @@
-"""A controller's part in duties: its claims, the orders that reach it, what it tells of them."""
+"""A controller's part in duties: its claims, the requests that reach it, their status."""
 
 from __future__ import annotations
 
 import asyncio
-import logging
 import random
-from collections.abc import Awaitable, Callable
-from dataclasses import dataclass
+from collections.abc import Callable
 from typing import Any
 
 import msgspec
@@ -19,56 +17,32 @@
 from peathall.duties.board import DutyBoard
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.delegate import DelegatedCloud
+from peathall.duties.delegation import Delegation as Delegation
 from peathall.duties.executor import Checkpoint, DutyExecutor, no_checkpoint
+from peathall.duties.holders import Holders, Send
 from peathall.duties.model import (
-    ACT,
-    MARK,
-    PREFIX,
-    ActAnswer,
-    ActRecord,
-    ActRequest,
+    ACTION_PREFIX,
+    DUTIES_PREFIX,
+    ActionIntent,
+    ActionRequest,
+    ActionResult,
     Duty,
     DutyPhase,
-    HolderRecord,
     Outcome,
     to_value,
 )
+from peathall.duties.retirement import Retirement
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, describe
 from peathall.duties.writes import DelegatedWrites
 from peathall.http.client import NoAnswerError
 from peathall.leadership.election import LEADER_KEY, LeaderRecord
-from peathall.store.client import ConflictError, Delete, KeyValue, StoreClient, StoreError
+from peathall.store.client import StoreClient
 from peathall.store.writer import Writer
 
-log = logging.getLogger("peathall.duties")
-
-# Sends a message to another controller; status and body of its answer, or NoAnswerError.
-Send = Callable[[str, str, bytes, float], Awaitable[tuple[int, bytes]]]
-
-
-@dataclass(frozen=True, slots=True)
-class Delegation:
-    """A leader's ways to the holders, for one term."""
-
-    cloud: DelegatedCloud
-    compaction: DelegatedWrites
-    cleanup: DelegatedWrites
-
-    async def run(self) -> None:
-        """Hand over what is offered, until the term is over."""
-        async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self.compaction.run())
-            tasks.create_task(self.cleanup.run())
-
-    def act_directly(self) -> None:
-        """Duties are off: the leader's writer takes over what waits."""
-        self.compaction.act_directly()
-        self.cleanup.act_directly()
-
 
 class Duties:
-    """Claims of this controller, and its ways to the holders."""
+    """Claims and performs duties at this controller, and delegates to their holders if it leads."""
 
     def __init__(
         self,
@@ -81,6 +55,7 @@
         rng: random.Random,
         checkpoint: Checkpoint = no_checkpoint,
     ) -> None:
+        """`leads`: whether this controller leads; `wall`: the wall clock."""
         self.settings = settings
         self.own = own
         self.store = store
@@ -89,38 +64,36 @@
         self.checkpoint = checkpoint
         self.board = DutyBoard(store)
         self.executors: dict[Duty, DutyExecutor] = {}
-        self.delegated: Delegation | None = None  # of our latest term
-        self.outstanding = False  # an earlier holder left actions, as far as a retiring one knows
-        self.claims = {duty: self._claim(duty, wall, rng) for duty in own.held()}
-
-    def _claim(self, duty: Duty, wall: Callable[[], float], rng: random.Random) -> DutyClaim:
-        return DutyClaim(
-            duty,
-            self.settings.name,
-            self.store,
-            self.board,
-            self.own.lease_s,
-            wall,
-            rng,
-            lambda: self.own.mode is Mode.ON or self.outstanding,
-            self._reluctance_s,
-            lambda tenure: self._hold(duty, tenure),
-        )
-
-    def _reluctance_s(self) -> float:
-        """Who leads, or holds other duties, leaves a free one to others for a moment."""
-        held = sum(c.phase is not DutyPhase.FOLLOWING for c in self.claims.values())
-        leading = constants.DUTY_LEADER_PAUSE_S if self.leads() else 0.0
-        return leading + constants.DUTY_HELD_PAUSE_S * held
+        self.claims = {
+            duty: DutyClaim(
+                duty, settings.name, store, self.board, own.lease_s, wall, rng, claimant=self
+            )
+            for duty in own.held()
+        }
+        self._delegation: Delegation | None = None  # of our latest term
+        self._retirement = Retirement(store, self.board, self._release_claims)
 
     async def run(self) -> None:
-        """Follow the board, and claim."""
+        """Follow the records of duties, and claim, until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.board.run())
             for claim in self.claims.values():
                 tasks.create_task(claim.run())
 
-    async def _hold(self, duty: Duty, tenure: Tenure) -> None:
+    # --- claims --------------------------------------------------------------
+    def may_claim(self) -> bool:
+        """Whether duties without a holder may be claimed: while duties are retired, only to finish
+        what an earlier holder left."""
+        return self.own.mode is Mode.ON or self._retirement.has_unfinished
+
+    def claim_delay_s(self) -> float:
+        """A controller that leads, or holds other duties, leaves a free one to others so long."""
+        held = sum(c.phase is not DutyPhase.FOLLOWING for c in self.claims.values())
+        leading = constants.DUTY_LEADER_PAUSE_S if self.leads() else 0.0
+        return leading + constants.DUTY_HELD_PAUSE_S * held
+
+    async def hold(self, duty: Duty, tenure: Tenure) -> None:
+        """Perform the duty, until cancelled."""
         claim = self.claims[duty]
         cloud = CloudClient(
             self.settings.services.cloud,
@@ -143,78 +116,78 @@
         finally:
             del self.executors[duty]
 
+    def _release_claims(self) -> None:
+        for claim in self.claims.values():
+            claim.release()
+
     async def release_all(self) -> None:
-        """An orderly end: others take over at once."""
+        """Give up all duties in order, and claim none any more: others claim them at once."""
         self.own = msgspec.structs.replace(self.own, mode=Mode.RETIRING)
         for claim in self.claims.values():
             await claim.give_up()
 
     # --- leading -------------------------------------------------------------
     def delegate(self, term: int, writer: Writer) -> Delegation:
-        """Ways from the leader of this term to the holders."""
-        holder = self.board.holders.get
-        cloud = DelegatedCloud(term, lambda: writer.guard.version, holder, self._ask)
-
-        def writes(duty: Duty) -> DelegatedWrites:
-            return DelegatedWrites(duty, term, writer, self.leads, holder, self._ask, cloud.waiting)
-
-        self.delegated = Delegation(cloud, writes(Duty.RECLAIMING), writes(Duty.CLEANUP))
-        return self.delegated
+        """The ways to the holders, for the leader of this term."""
+        holders = Holders(self.settings.name, self.board, self.send, self.perform)
+        cloud = DelegatedCloud(term, lambda: writer.guard.version, holders)
+        compaction = DelegatedWrites(Duty.COMPACTION, term, writer, self.leads, holders)
+        cleanup = DelegatedWrites(Duty.CLEANUP, term, writer, self.leads, holders)
+        self._delegation = Delegation(cloud, compaction, cleanup, holders)
+        return self._delegation
 
     async def pending_deletions(self) -> set[str]:
-        """Machines named in deletions that are not known to be finished."""
-        items, _ = await self.store.scan(Duty.RETURNING.act_prefix)
-        records = [msgspec.convert(item.value, ActRecord) for item in items]
-        return {m for r in records if r.deletion is not None for m in r.deletion.machines}
+        """Machines named in unfinished deletions; raises StoreError."""
+        items, _ = await self.store.scan(Duty.SCALE_IN.action_prefix)
+        intents = [msgspec.convert(item.value, ActionIntent) for item in items]
+        return {m for i in intents if i.deletion is not None for m in i.deletion.machines}
 
-    async def _ask(self, holder: HolderRecord, request: ActRequest) -> ActAnswer:
-        if holder.member == self.settings.name:
-            return await self.perform(request)
-        try:
-            message = orjson.dumps(to_value(request))
-            status, raw = await self.send(holder.member, "/duty", message, constants.DUTY_ASK_S)
-            if status == 200:
-                return msgspec.convert(orjson.loads(raw), ActAnswer)
-        except (NoAnswerError, orjson.JSONDecodeError, msgspec.ValidationError) as exc:
-            return ActAnswer(Outcome.PENDING, why=str(exc))
-        return ActAnswer(Outcome.REFUSED, why=f"answered {status}")
+    @property
+    def retiring(self) -> bool:
+        """Whether this controller takes duties out of use."""
+        return self.own.mode is Mode.RETIRING
+
+    async def retire(self, writer: Writer, done: Callable[[], None]) -> None:
+        """While we lead: switch duties off, then call `done`. Ends only by cancellation."""
+        await self._retirement.run(writer, done)
 
-    # --- holding -------------------------------------------------------------
+    # --- requests ------------------------------------------------------------
     async def serve(self, path: str, raw: bytes) -> tuple[int, Any]:
-        """A request that another controller, or an operator's client, has sent."""
+        """Status and body for a request of another controller or an operator's client; raises
+        StoreError if the status of duties cannot be read."""
         if path == "/duties":
             return 200, to_value(await self.status())
         if path == "/duties/waiting":
             return 200, self._waiting()
         try:
-            request = msgspec.convert(orjson.loads(raw), ActRequest)
+            request = msgspec.convert(orjson.loads(raw), ActionRequest)
         except (orjson.JSONDecodeError, msgspec.ValidationError):
             return 400, None
         return 200, to_value(await self.perform(request))
 
-    async def perform(self, request: ActRequest) -> ActAnswer:
-        """Carry an order out, if we hold its duty."""
+    async def perform(self, request: ActionRequest) -> ActionResult:
+        """Carry a request out, if we hold its duty."""
         executor = self.executors.get(request.duty)
         if executor is None:
-            return ActAnswer(Outcome.REFUSED, why="does not hold the duty")
+            return ActionResult(Outcome.REFUSED, why="does not hold the duty")
         return await executor.perform(request)
 
-    # --- telling -------------------------------------------------------------
     async def status(self) -> DutiesStatus:
-        """Who holds what, read from the store; why work waits, as the leader knows it."""
-        items = [*(await self.store.scan(PREFIX))[0], *(await self.store.scan(ACT))[0]]
+        """Who holds what, read from the state service; why work waits, as the leader knows it."""
+        duties, _ = await self.store.scan(DUTIES_PREFIX)
+        actions, _ = await self.store.scan(ACTION_PREFIX)
         item = await self.store.get(LEADER_KEY)
         leader = msgspec.convert(item.value, LeaderRecord).member if item is not None else None
         waiting = self._waiting()
         if leader is not None and leader != self.settings.name:
             waiting = await self._ask_waiting(leader)
-        return describe(self.settings.name, items, leader, waiting)
+        return describe(self.settings.name, [*duties, *actions], leader, waiting)
 
     def _waiting(self) -> dict[str, str]:
-        """Why work waits, by duty, as far as we lead."""
-        if self.delegated is None or not self.leads():
+        """Why work waits, by duty, if we lead."""
+        if self._delegation is None or not self.leads():
             return {}
-        return self.delegated.cloud.waiting.lately()
+        return self._delegation.holders.waiting.recent()
 
     async def _ask_waiting(self, leader: str) -> dict[str, str]:
         try:
@@ -222,40 +195,3 @@
             return msgspec.convert(orjson.loads(raw), dict[str, str])
         except (NoAnswerError, orjson.JSONDecodeError, msgspec.ValidationError):
             return {duty.value: f"{leader}, who leads, does not answer" for duty in Duty}
-
-    # --- retiring ------------------------------------------------------------
-    @property
-    def retiring(self) -> bool:
-        """Whether this controller takes duties out of use."""
-        return self.own.mode is Mode.RETIRING
-
-    async def retire(self, writer: Writer, done: Callable[[], None]) -> None:
-        """While we lead: once nothing is outstanding, take the mark away. Never returns."""
-        while not (await self._nothing_outstanding() and await self._drop_mark(writer)):
-            await asyncio.sleep(constants.TICK_S)
-        done()
-        await asyncio.Event().wait()
-
-    async def _nothing_outstanding(self) -> bool:
-        """If something is, we may claim duties to finish it."""
-        try:
-            items: list[KeyValue] = (await self.store.scan(ACT))[0]
-        except StoreError as exc:
-            log.debug("reading unfinished actions: %s", exc)
-            return False
-        self.outstanding = bool(items)
-        return not items
-
-    async def _drop_mark(self, writer: Writer) -> bool:
-        """Only while nobody holds a duty: a holder's commits depend on its own record."""
-        if not self.board.mark:
-            return False  # not read yet
-        for claim in self.claims.values():
-            claim.release()
-        conditions = {duty.holder_key: 0 for duty in Duty} | {MARK: self.board.mark}
-        try:
-            await writer.submit([Delete(MARK)], conditions)
-        except ConflictError:
-            return False
-        log.info("duties are off: this leader acts on the cloud itself")
-        return True
--- a/peathall/duties/settings.py
+++ b/peathall/duties/settings.py
@@ -1,4 +1,4 @@
-"""The `duties` section of the operators' file."""
+"""The `duties` section of the operators' file; its names are what operators write."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class DutySettings(Struct, frozen=True, forbid_unknown_fields=True):
-    """Whether this controller takes part in duties, which ones it may hold, and for how long."""
+    """Whether this controller takes part in duties, which it may hold, and their lease in s."""
 
     mode: Mode = Mode.ON
     hold: list[Duty] = []  # none named: all
--- a/peathall/duties/status.py
+++ b/peathall/duties/status.py
@@ -1,11 +1,18 @@
-"""What operators are told of duties."""
+"""The status of duties, as operators see it; it is sent as JSON under these field names."""
 
 from __future__ import annotations
 
 import msgspec
 from msgspec import Struct
 
-from peathall.duties.model import MARK, ActRecord, Duty, Handover, HolderRecord, TokenRecord
+from peathall.duties.model import (
+    ENABLED_KEY,
+    ActionIntent,
+    Duty,
+    Handover,
+    HolderRecord,
+    TokenRecord,
+)
 from peathall.store.client import KeyValue
 
 
@@ -14,7 +21,7 @@
 
     duty: str
     holder: str | None
-    since: float | None  # time of day
+    since: float | None  # seconds since the epoch
     token: int
     outstanding: list[str]  # names of unfinished actions
     handovers: list[Handover]
@@ -33,24 +40,25 @@
 def describe(
     answered_by: str, items: list[KeyValue], leader: str | None, waiting: dict[str, str]
 ) -> DutiesStatus:
-    """The status that these records show."""
+    """The status that these records show; `waiting` are the reasons why work waits, by duty."""
     values = {item.key: item.value for item in items}
     found = [_describe_one(duty, values, waiting) for duty in Duty]
-    return DutiesStatus(answered_by, leader, MARK in values, found)
+    return DutiesStatus(answered_by, leader, ENABLED_KEY in values, found)
 
 
 def _describe_one(duty: Duty, values: dict[str, object], waiting: dict[str, str]) -> DutyStatus:
-    held = values.get(duty.holder_key)
-    holder = msgspec.convert(held, HolderRecord) if held is not None else None
-    counted = msgspec.convert(values.get(duty.token_key, {}), TokenRecord)
-    acts = {k: msgspec.convert(v, ActRecord) for k, v in values.items()
-            if k.startswith(duty.act_prefix)}  # fmt: skip
+    holder_value = values.get(duty.holder_key)
+    holder = msgspec.convert(holder_value, HolderRecord) if holder_value is not None else None
+    token_record = msgspec.convert(values.get(duty.token_key, {}), TokenRecord)
+    unfinished = [key for key in values if key.startswith(duty.action_prefix)]
+    for key in unfinished:
+        msgspec.convert(values[key], ActionIntent)  # a damaged record is an error
     return DutyStatus(
         duty.value,
         holder.member if holder is not None else None,
         holder.since if holder is not None else None,
-        counted.token,
-        [key.removeprefix(duty.act_prefix) for key in acts],
-        counted.latest,
+        token_record.token,
+        [key.removeprefix(duty.action_prefix) for key in unfinished],
+        token_record.latest,
         waiting.get(duty.value),
     )
--- a/tests/sim/duty_history.py
+++ b/tests/sim/duty_history.py
@@ -1,4 +1,4 @@
-"""A slow plain model of duties: what state service and cloud accepted, judged step by step."""
+"""A slow plain model of duties: checks what state service and cloud accept, step by step."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from tests.sim.net import CALLER
 from tests.sim.world import World
 
-HOLDER, ACT, ROUND, MARK = "duties/holder/", "duty-act/", "round/", "duties/on"
+HOLDER, ACTION, ROUND, ENABLED = "duties/holder/", "duty-act/", "round/", "duties/on"
 
 
 class DutyJudge:
@@ -19,7 +19,7 @@
         self.term = 0  # of the latest leader
         self.holders: dict[str, dict[str, Any]] = {}  # duty -> its latest holder
         self.acting: dict[tuple[str, int], str] = {}  # duty and token -> who acted under it
-        self.rentals: dict[str, dict[str, Any]] = {}  # by name, as committed
+        self.provisions: dict[str, dict[str, Any]] = {}  # by name, as committed
         self.answers: dict[str, list[str]] = {}  # of the cloud, by name
         self.pending_deletions: set[str] = set()
         self.rounds: set[str] = set()  # records of rounds that were written
@@ -39,32 +39,32 @@
         for op in raw["apply"]:
             self.changes += 1
             if "drop" in op:
-                self.dropped(op["drop"], depends)
+                self.deleted_record(op["drop"], depends)
             else:
                 self.wrote(op["write"], op["data"], depends, caller)
 
     def wrote(self, key: str, data: Any, depends: set[str], caller: str) -> None:
         if key == "lead":
             self.term = data["term"]
-        elif key == MARK:
+        elif key == ENABLED:
             self.on = True
         elif key.startswith(HOLDER):
             self.claimed(key.removeprefix(HOLDER), data)
-        elif key.startswith(ACT):
-            self.acted(*key.removeprefix(ACT).split("/"), data, depends, caller)
+        elif key.startswith(ACTION):
+            self.acted(*key.removeprefix(ACTION).split("/"), data, depends, caller)
         elif key.startswith("past/"):
             self.changed_store("cleanup", key, depends)
         elif key.startswith(ROUND) and key not in self.rounds:
-            # Once: a late copy of the commit may bring a dropped record back, which starts
+            # Once: a late copy of the commit may bring a deleted record back, which starts
             # nothing, and compaction writes it anew.
             self.rounds.add(key)
             for entry in data["a"]:
                 if entry[2] in self.pending_deletions:
-                    self.fault(f"a start on the condemned {entry[2]}")
+                    self.fault(f"a start on {entry[2]}, which is to be deleted")
 
-    def dropped(self, key: str, depends: set[str]) -> None:
+    def deleted_record(self, key: str, depends: set[str]) -> None:
         self.open.pop(key, None)
-        if key == MARK:
+        if key == ENABLED:
             self.on = False
         elif key.startswith(("live/", "done/")):
             self.changed_store("cleanup", key, depends)
@@ -93,7 +93,7 @@
         self, duty: str, name: str, record: dict[str, Any], depends: set[str], caller: str
     ) -> None:
         self.actions += 1
-        self.open[f"{ACT}{duty}/{name}"] = record
+        self.open[f"{ACTION}{duty}/{name}"] = record
         self.depends(duty, name, depends)
         if not self.holds(duty, record["token"]):
             self.fault(f"{name} under token {record['token']}, which does not hold {duty}")
@@ -103,9 +103,9 @@
             self.fault(f"{name} accepted for the replaced leader of term {record['term']}")
         if (
             record.get("rental")
-            and self.rentals.setdefault(name, record["rental"]) != (record["rental"])
+            and self.provisions.setdefault(name, record["rental"]) != (record["rental"])
         ):
-            self.fault(f"rental {name} means two things")
+            self.fault(f"provision request {name} has two meanings")
         if record.get("deletion"):
             self.pending_deletions |= set(record["deletion"]["machines"])
 
@@ -115,15 +115,15 @@
             self.fault(f"deletion of {set(machines) - self.pending_deletions} without an intent")
 
     def rented(self, name: str, machines: list[str] | None) -> None:
-        """The cloud carries a rental out, and answers so, if that is known by then."""
-        if name not in self.rentals:
-            self.fault(f"rental {name} without an intent")
+        """The cloud carries a provision request out, with this answer if it is known by then."""
+        if name not in self.provisions:
+            self.fault(f"provision request {name} without an intent")
         if machines is not None and self.answers.setdefault(name, machines) != machines:
-            self.fault(f"two answers to rental {name}")
+            self.fault(f"two answers to provision request {name}")
 
 
 class DutyHistory(DutyJudge):
-    """The judge of a day on the virtual clock."""
+    """The model of a day on the virtual clock."""
 
     def __init__(self, world: World) -> None:
         super().__init__()
@@ -136,7 +136,7 @@
         super().fault(f"{self.state.loop.now:.2f} {what}")
 
     def holds(self, duty: str, token: int) -> bool:
-        """Also the lease must live."""
+        """Also the lease must be valid."""
         return HOLDER + duty in self.state.data and super().holds(duty, token)
 
     def claimed(self, duty: str, record: dict[str, Any]) -> None:
@@ -157,4 +157,4 @@
 
     def unfinished(self) -> list[str]:
         """Actions that the state service holds as not finished."""
-        return [key for key in self.state.data if key.startswith(ACT)]
+        return [key for key in self.state.data if key.startswith(ACTION)]
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties on the virtual clock: one holder acts at a time, whatever freezes, ends or is cut off."""
+"""Duties on the virtual clock: one holder acts at a time, whatever is suspended or cut off."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from peathall.autoscaling.actions import CloudError, ProvisionRequest
 from peathall.config.modes import Mode
 from peathall.config.platform import parse
-from peathall.duties.model import ActAnswer, ActRequest, Deletion, Duty, DutyPhase, Outcome
+from peathall.duties.model import ActionRequest, ActionResult, Deletion, Duty, DutyPhase, Outcome
 from peathall.duties.settings import DutySettings
 from peathall.operator_config.settings import Operator
 from peathall.store.writer import Transaction, Writer
@@ -82,13 +82,13 @@
 
 
 async def settled(world: World) -> None:
-    """Both duties are held."""
+    """All duties are held."""
     await world.begin()
     await until(world, lambda: all(holder(world, duty) is not None for duty in Duty))
 
 
 def play(seed: int, day: Callable[[World, DutyHistory], Awaitable[None]], size: int = 3) -> None:
-    """The day, and after it the model's judgement."""
+    """The day, and after it the faults that the model has found."""
     with virtual(seed) as loop:
         world = new_world(loop, seed, size)
         history = DutyHistory(world)
@@ -103,7 +103,7 @@
 
 
 def stop_at(world: World, index: int, step: str, act: Callable[[str], None]) -> list[str]:
-    """At the controller, `act` is called once, when an action has come so far."""
+    """At the controller, `act` is called once, when an action has reached the step."""
     seen: list[str] = []
 
     async def checkpoint(reached: str, name: str) -> None:
@@ -122,12 +122,12 @@
         await settled(world)
         leader = world.leader()
         holders = {holder(world, duty) for duty in Duty}
-        # Spread, and the leader spared.
+        # Spread over the controllers that do not lead.
         assert leader not in holders and len(holders) == 2
         done = [submit(world, number) for number in range(1, 6)]
         await asyncio.gather(*done)
-        await until(world, lambda: not world.workers)  # idle machines were returned
-        assert history.rentals and history.pending_deletions
+        await until(world, lambda: not world.workers)  # idle machines were deleted
+        assert history.provisions and history.pending_deletions
         # Jobs are archived, and what nothing needs is dropped, by holders as well.
         await until(world, lambda: not any(k.startswith(("live/", "round/")) for k in state.data))
         assert sum(key.startswith("past/") for key in state.data) == 5
@@ -139,9 +139,9 @@
 @pytest.mark.parametrize("step", ["committed", "carried out"])
 @pytest.mark.parametrize("duty", Duty, ids=lambda duty: duty.value)
 @pytest.mark.parametrize("pause_s", [0.3, 3.0, 12.0])
-def test_a_holder_is_frozen_between_the_steps(duty: Duty, step: str, pause_s: float) -> None:
+def test_a_holder_is_suspended_between_the_steps(duty: Duty, step: str, pause_s: float) -> None:
     """Within its lease it goes on; past it the successor has finished what it began, and what it
-    does when it wakes changes nothing."""
+    does when it resumes changes nothing."""
 
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
@@ -161,42 +161,42 @@
 @pytest.mark.parametrize("back_s", [0.2, 4.0])
 @pytest.mark.parametrize("with_leader", [False, True])
 @pytest.mark.parametrize("step", ["committed", "carried out"])
-def test_a_holder_dies_between_the_steps(step: str, with_leader: bool, back_s: float) -> None:
+def test_a_holder_crashes_between_the_steps(step: str, with_leader: bool, back_s: float) -> None:
     """Alone or together with the leader; back within a fraction of a second, or later."""
 
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
-        index = holder(world, Duty.RENTING)
+        index = holder(world, Duty.SCALE_OUT)
         assert index is not None
 
-        def die(name: str) -> None:
+        def crash(name: str) -> None:
             leader = world.leader()
             world.loop.call_soon(world.crash_node, index, back_s)
             if with_leader and leader is not None:
                 world.loop.call_soon(world.crash_node, leader, back_s)
 
-        names = stop_at(world, index, step, die)
+        names = stop_at(world, index, step, crash)
         done = [submit(world, number) for number in range(1, 4)]
         await until(world, lambda: bool(names))
         await asyncio.gather(*done)
-        rented = [name for name in world.hires if name == names[0]]
-        assert rented == names  # carried out, under its one name
+        provisioned = [name for name in world.hires if name == names[0]]
+        assert provisioned == names  # carried out, under its one name
 
     play(520, day)
 
 
-def test_a_frozen_holder_that_wakes_is_refused_by_the_store() -> None:
-    """It is frozen before the intent: what it commits when it wakes is for a lease that is gone."""
+def test_a_suspended_holder_that_resumes_is_refused_by_the_store() -> None:
+    """It is suspended before the intent: what it commits when it resumes has an expired lease."""
 
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
-        index = holder(world, Duty.RENTING)
+        index = holder(world, Duty.SCALE_OUT)
         assert index is not None
-        tenure = claim(world, index, Duty.RENTING).tenure
+        tenure = claim(world, index, Duty.SCALE_OUT).tenure
         world.freeze_node(index, 15.0)
         done = [submit(world, number) for number in range(1, 4)]
         await asyncio.sleep(10.0)
-        assert holder(world, Duty.RENTING) != index
+        assert holder(world, Duty.SCALE_OUT) != index
         # Its own clock is of no help to it: suppose that it counts its lease wrongly.
         tenure.lease.until = 1e9
         await asyncio.gather(*done)
@@ -212,9 +212,9 @@
 
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
-        index = holder(world, Duty.RENTING)
+        index = holder(world, Duty.SCALE_OUT)
         assert index is not None
-        claim(world, index, Duty.RENTING).tenure.lease.until += jump_s
+        claim(world, index, Duty.SCALE_OUT).tenure.lease.until += jump_s
         done = [submit(world, 1)]
         await asyncio.sleep(2.0)
         world.freeze_node(index, 8.0)
@@ -228,7 +228,7 @@
 def test_the_store_refuses_the_holder_or_all(everywhere: bool) -> None:
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
-        index = holder(world, Duty.RENTING)
+        index = holder(world, Duty.SCALE_OUT)
         assert index is not None
         before = history.token("renting")
         if everywhere:
@@ -236,7 +236,7 @@
         else:
             world.state.refused_until[f"10.0.0.{index + 1}"] = world.loop.now + 12.0
         await asyncio.sleep(3.0)
-        assert claim(world, index, Duty.RENTING).phase is DutyPhase.UNSURE
+        assert claim(world, index, Duty.SCALE_OUT).phase is DutyPhase.RENEWAL_UNANSWERED
         done = [submit(world, number) for number in range(1, 4)]
         await asyncio.gather(*done)
         # After an outage every lease has its full time again; refused alone, it lost its own.
@@ -247,7 +247,7 @@
 
 @pytest.mark.parametrize("carried_out", [True, False])
 def test_the_answer_to_a_commit_is_lost(carried_out: bool) -> None:
-    """Applied at once or seconds later: its fate is known before anything follows."""
+    """Applied at once or seconds later: its outcome is known before anything follows."""
 
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
@@ -260,29 +260,33 @@
     play(560, day)
 
 
-def test_what_was_refused_may_be_asked_for_again() -> None:
-    """The leader's record is written anew as a fence, after it was read for the order: refused
+def test_a_refused_request_may_be_repeated() -> None:
+    """The leader's record is written anew as a fence, after it was read for the request: refused
     under its name once, a deletion was refused for the rest of the term."""
 
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
-        index = holder(world, Duty.RETURNING)
+        index = holder(world, Duty.SCALE_IN)
         assert index is not None
         host, node = world.nodes[index]
         lead, version, _ = world.state.data["lead"]
         token = history.token("returning")
 
-        async def ask(lead_version: int) -> ActAnswer:
-            order = ActRequest(
-                Duty.RETURNING, token, lead["term"], lead_version, deletion=Deletion("d-1", ["m-9"])
+        async def ask(leader_version: int) -> ActionResult:
+            request = ActionRequest(
+                Duty.SCALE_IN,
+                token,
+                lead["term"],
+                leader_version,
+                deletion=Deletion("d-1", ["m-9"]),
             )
-            work = node.duties.perform(order)
-            answer: ActAnswer = await world.loop.create_task(work, context=world.context(host))
+            work = node.duties.perform(request)
+            answer: ActionResult = await world.loop.create_task(work, context=world.context(host))
             return answer
 
         assert (await ask(version - 1)).outcome is Outcome.REFUSED
         assert (await ask(version)).outcome is Outcome.DONE
-        assert (await ask(version - 1)).outcome is Outcome.DONE  # told again, not done again
+        assert (await ask(version - 1)).outcome is Outcome.DONE  # the answer again
         assert history.actions == 1
 
     play(567, day)
@@ -306,7 +310,7 @@
     play(565, day, 5)
 
 
-@pytest.mark.parametrize("duty", [Duty.RENTING, Duty.RETURNING], ids=lambda duty: duty.value)
+@pytest.mark.parametrize("duty", [Duty.SCALE_OUT, Duty.SCALE_IN], ids=lambda duty: duty.value)
 def test_a_request_arrives_after_the_successor_began(duty: Duty) -> None:
     """It left the holder, is held back on its way, and is carried out when the successor has long
     done the same: names make it harmless."""
@@ -353,13 +357,13 @@
 def test_an_orderly_end_hands_over_at_once() -> None:
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
-        index = holder(world, Duty.RENTING)
+        index = holder(world, Duty.SCALE_OUT)
         assert index is not None
         host, node = world.nodes[index]
         context = world.context(host)
         await world.loop.create_task(node.release(), context=context)
         world.crash_node(index, 60.0)
-        took = await until(world, lambda: holder(world, Duty.RENTING) not in (None, index))
+        took = await until(world, lambda: holder(world, Duty.SCALE_OUT) not in (None, index))
         assert took < 2.0  # the lease alone would have taken five
         submit(world, 1)
         await asyncio.sleep(20.0)
@@ -367,11 +371,9 @@
     play(570, day)
 
 
-def test_without_a_holder_work_waits_and_it_is_said_why() -> None:
+def test_without_a_holder_work_waits_and_the_status_names_the_reason() -> None:
     async def day(world: World, history: DutyHistory) -> None:
-        world.operators = {
-            i: Operator(duties=DutySettings(hold=[Duty.RETURNING])) for i in range(3)
-        }
+        world.operators = {i: Operator(duties=DutySettings(hold=[Duty.SCALE_IN])) for i in range(3)}
         await world.begin()
         done = submit(world, 1)
         await asyncio.sleep(15.0)
@@ -396,7 +398,7 @@
 
 
 def test_a_controller_that_has_duties_off_does_not_lead_beside_holders() -> None:
-    """The mark keeps it from the lead, through crashes of all others."""
+    """The record that duties are on keeps it from leading, through crashes of all others."""
 
     async def day(world: World, history: DutyHistory) -> None:
         del world.operators[0]
@@ -413,7 +415,7 @@
         await submit(world, 1)
 
     with virtual(590) as loop:
-        # Off leads first: only once it has ended, the mark is set.
+        # It leads first: only once it has ended, duties are on.
         world = new_world(loop, 590)
         history = DutyHistory(world)
         loop.run_until_complete(day(world, history))
@@ -421,7 +423,7 @@
 
 
 def test_duties_are_switched_on_and_off_one_controller_after_the_other() -> None:
-    """With crashes in between, and work all the time; the order that operators are told."""
+    """With crashes in between, and work all the time; in the order that operators are given."""
 
     async def day(world: World, history: DutyHistory) -> None:
         world.operators = {}
@@ -458,7 +460,7 @@
         assert not history.unfinished()
 
 
-def test_four_thousand_machines_are_returned_at_once() -> None:
+def test_four_thousand_machines_are_deleted_at_once() -> None:
     """Forty deletions for one holder; each is committed before, none twice, none forgotten."""
 
     async def day(world: World, history: DutyHistory) -> None:
@@ -471,9 +473,9 @@
         names = [world.rent(kind, "a", False).name for _ in range(4000)]
         actions = node.leader.autoscaler.actions
 
-        async def give_back() -> None:
+        async def delete_all() -> None:
             for first in range(0, 4000, 100):
-                while True:  # as the fleet does
+                while True:  # as the autoscaler does
                     try:
                         await actions.delete(names[first : first + 100])
                         break
@@ -481,7 +483,7 @@
                         await asyncio.sleep(1.0)
 
         began = world.loop.now
-        await world.loop.create_task(give_back(), context=world.context(host))
+        await world.loop.create_task(delete_all(), context=world.context(host))
         assert set(names) <= history.pending_deletions
         assert not set(names) & world.workers.keys()
         assert world.loop.now - began < 120.0
@@ -489,8 +491,8 @@
     play(610, day)
 
 
-def test_a_thousand_freezes_in_a_row() -> None:
-    """Whoever holds or leads stands still at random, some past their leases; some die."""
+def test_a_thousand_suspensions_in_a_row() -> None:
+    """Holders and leaders are suspended at random, some past their leases; some crash."""
 
     async def day(world: World, history: DutyHistory) -> None:
         rng = random.Random(620)
@@ -518,7 +520,7 @@
 
 
 def test_a_holder_without_its_condition_is_caught(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The same judgement of a holder whose commits depend on nothing finds it out."""
+    """The model finds a holder whose commits are unconditional."""
     plain = Writer._transaction
 
     def unconditional(writer: Writer, batch: Any) -> Transaction:
@@ -534,10 +536,10 @@
 
         async def day() -> None:
             await settled(world)
-            index = holder(world, Duty.RENTING)
+            index = holder(world, Duty.SCALE_OUT)
             assert index is not None
-            held = claim(world, index, Duty.RENTING)
-            executor = world.nodes[index][1].duties.executors[Duty.RENTING]
+            held = claim(world, index, Duty.SCALE_OUT)
+            executor = world.nodes[index][1].duties.executors[Duty.SCALE_OUT]
             world.freeze_node(index, 9.0)
             submit(world, 1)
             await asyncio.sleep(8.5)
@@ -545,9 +547,9 @@
             leader = world.leader()
             assert leader is not None
             lead = world.state.data["lead"]
-            late = ActRequest(
-                Duty.RENTING, held.tenure.holder.token, lead[0]["term"], lead[1],
-                rental=ProvisionRequest("r-late-1", "small", "a", False, 1),
+            late = ActionRequest(
+                Duty.SCALE_OUT, held.tenure.holder.token, lead[0]["term"], lead[1],
+                provision=ProvisionRequest("r-late-1", "small", "a", False, 1),
             )  # fmt: skip
             host = world.nodes[index][0]
             work = executor.perform(late)
@@ -578,7 +580,7 @@
 
 
 def test_what_holds_if_an_older_version_is_left_in() -> None:
-    """Operators are told to upgrade all first. One that knows nothing of the mark may lead and act
+    """Operators are told to upgrade all first. One that does not know of duties may lead and act
     by itself; from then on no holder's action is accepted, so there are never two that act."""
     with virtual(630) as loop:
         world = new_world(loop, 630)
@@ -606,11 +608,11 @@
 
         loop.run_until_complete(day())
         assert world.broken == []
-        told = ("without an intent", "does not depend")
-        assert [f for f in history.faults if not any(word in f for word in told)] == []
+        expected = ("without an intent", "does not depend")
+        assert [f for f in history.faults if not any(word in f for word in expected)] == []
 
 
 async def settled_or_old(world: World) -> None:
-    """Somebody leads."""
+    """Some controller leads."""
     await world.begin()
     await until(world, lambda: world.leader() is not None)
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -1065,7 +1065,8 @@
 
 
 def work() -> Any:
-    return duties.StoreWork("w-1", {"a/b": 0}, [duties.StoredValue("a/b", {"x": 1})], ["c/d"])
+    puts = [duties.StoredValue("a/b", {"x": 1})]
+    return duties.StoreTransaction("w-1", {"a/b": 0}, puts, ["c/d"])
 
 
 def handover() -> Any:
@@ -1105,16 +1106,16 @@
     (rental(), RENTAL),
     (holder(), HOLDER),
     (duties.TokenRecord(3, [handover()]), {"token": 3, "latest": [HANDOVER]}),
-    (duties.ActRecord(3, 4), {"token": 3, "term": 4, **NO_ACT}),
+    (duties.ActionIntent(3, 4), {"token": 3, "term": 4, **NO_ACT}),
     (
-        duties.ActRecord(3, 4, rental(), deletion()),
+        duties.ActionIntent(3, 4, rental(), deletion()),
         {"token": 3, "term": 4, "rental": RENTAL, "deletion": DELETION},
     ),
     (
-        duties.ActRequest(duties.Duty("renting"), 3, 4, 9, rental(), deletion(), work()),
+        duties.ActionRequest(duties.Duty("renting"), 3, 4, 9, rental(), deletion(), work()),
         ACT_REQUEST,
     ),
-    (duties.ActAnswer(duties.Outcome("done"), ["m-1"], "x", 8, ["a/b"]), ACT_ANSWER),
+    (duties.ActionResult(duties.Outcome("done"), ["m-1"], "x", 8, ["a/b"]), ACT_ANSWER),
     (
         DutiesStatus(
             "hall-0", "hall-1", True,
@@ -1173,7 +1174,7 @@
 
 def test_keys_between_controllers() -> None:
     duty = duties.Duty("renting")
-    assert (duties.MARK, duty.holder_key, duty.token_key, duty.act_prefix) == (
+    assert (duties.ENABLED_KEY, duty.holder_key, duty.token_key, duty.action_prefix) == (
         "duties/on", "duties/holder/renting", "duties/token/renting", "duty-act/renting/",
     )  # fmt: skip
     assert (cells.HANDOFF, cells.BORROWED) == ("handoff/", "borrowed/")
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -29,7 +29,7 @@
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.executor import DutyExecutor
 from peathall.duties.gate import DutyGate
-from peathall.duties.model import ActRequest, Deletion, Duty, HolderRecord
+from peathall.duties.model import ActionRequest, Deletion, Duty, HolderRecord
 from peathall.duties.status import describe
 from peathall.jobs.follower import FollowerService
 from peathall.jobs.live_index import LiveJobIndex
@@ -557,15 +557,15 @@
         store.write("term", {"n": 7})
         await campaign(store, gate=Mode.ON)
         async with followed_board(store) as board:
-            assert board.mark == store.data["duties/on"][1]
+            assert board.enabled_version == store.data["duties/on"][1]
 
     assert_written(play(test), {"lead": [LEAD], "term": [{"n": 8}], "duties/on": [MARK]})
 
 
 DUTIES = [
-    ("renting", Duty.RENTING),
-    ("returning", Duty.RETURNING),
-    ("reclaiming", Duty.RECLAIMING),
+    ("renting", Duty.SCALE_OUT),
+    ("returning", Duty.SCALE_IN),
+    ("reclaiming", Duty.COMPACTION),
     ("cleanup", Duty.CLEANUP),
 ]
 
@@ -576,8 +576,18 @@
 
 @pytest.mark.parametrize(("name", "duty"), DUTIES)
 def test_holder_and_token_are_written_and_token_is_read(name: str, duty: Duty) -> None:
-    async def hold(tenure: Tenure) -> None:
-        assert tenure.holder.token == 5
+    class Holding:
+        """May claim at once."""
+
+        def may_claim(self) -> bool:
+            return True
+
+        def claim_delay_s(self) -> float:
+            return 0.0
+
+        async def hold(self, held: Duty, tenure: Tenure) -> None:
+            assert held is duty
+            assert tenure.holder.token == 5
 
     async def test(store: RecordingStore) -> None:
         client: Any = store
@@ -585,9 +595,8 @@
         store.write(f"duties/token/{name}", TOKEN_BEFORE)
         async with followed_board(store) as board:
             claim = DutyClaim(
-                duty, "hall-1", client, board, 20.0, lambda: WALL, random.Random(1),
-                lambda: True, lambda: 0.0, hold,
-            )  # fmt: skip
+                duty, "hall-1", client, board, 20.0, lambda: WALL, random.Random(1), Holding()
+            )
             clock: Any = SimpleNamespace(time=lambda: 100.0)
             claim.loop, board.vacant_since[duty] = clock, 97.5
             await claim._claim()
@@ -644,9 +653,9 @@
 
 
 ACTS = [
-    (RENTAL_KEY, RENTAL, Duty.RENTING, {"rental": rental()}, rental()),
+    (RENTAL_KEY, RENTAL, Duty.SCALE_OUT, {"provision": rental()}, rental()),
     (
-        DELETION_KEY, DELETION, Duty.RETURNING,
+        DELETION_KEY, DELETION, Duty.SCALE_IN,
         {"deletion": Deletion(name="d-7-1", machines=["m-1", "m-2"])}, ["m-1", "m-2"],
     ),
 ]  # fmt: skip
@@ -659,7 +668,7 @@
     async def test(store: RecordingStore) -> None:
         cloud = Cloud()
         async with holding(store, duty, cloud) as executor:
-            await executor.perform(ActRequest(duty, 5, TERM, store.data["lead"][1], **act))
+            await executor.perform(ActionRequest(duty, 5, TERM, store.data["lead"][1], **act))
         assert cloud.asked == [done]
 
     assert_written(play(test), {key: [value]})
