--- a/peathall/leader/events.py
+++ b/peathall/leader/events.py
@@ -12,6 +12,7 @@
 
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
+from peathall.leader.phase import TermState
 from peathall.placement.views import Plan
 
 if TYPE_CHECKING:
@@ -22,13 +23,18 @@
     """Passes each event to the slices that it concerns.
 
     It is the `WorkerListener` of the workers, the `RemoteJobs` of the jobs, a `DemandListener` of
-    placement and the `TaskStopper` of the cells.
+    placement, the `ScalingLeader` of the autoscaler and the `TaskStopper` of the cells.
     """
 
-    def __init__(self, slices: LeaderSlices) -> None:
+    def __init__(self, slices: LeaderSlices, state: TermState) -> None:
         self._slices = slices
+        self._state = state
         self._loop = asyncio.get_running_loop()
 
+    def is_active(self) -> bool:
+        """Whether the leader may act now."""
+        return self._state.is_active()
+
     # --- from the workers ----------------------------------------------------
     def tasks_done(self, job: Job) -> None:
         """Heartbeats have shown tasks of the job to be done."""
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -38,7 +38,7 @@
         self._context = context
         self._params = context.settings.params
         self._state = state
-        self.events = SliceEvents(self)
+        self.events = SliceEvents(self, state)
         self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term))
         self.writer = self._make_writer(leader_term)
         self.duties = self._make_duties(leader_term)
@@ -107,10 +107,9 @@
             cloud=self._context.cloud,
             writer=self.writer,
             workers=self.workers,
-            is_leader=self._state.is_active,
-            on_change=self.events.state_changed,
+            leader=self.events,
             idle_hold_s=self._context.operator.idle_hold_s,
-            actions=self.duties.cloud,
+            delegated=self.duties.cloud,
         )
 
     def _make_placement(self) -> Placement:
--- a/tests/unit/test_leader.py
+++ b/tests/unit/test_leader.py
@@ -148,7 +148,7 @@
         async with serving(leader):
             assert leader.is_active()
             assert ("handoff/" in store.scanned) is with_cells
-            assert (Duty.RETURNING.act_prefix in store.scanned) is with_duties
+            assert (Duty.SCALE_IN.action_prefix in store.scanned) is with_duties
             await asyncio.sleep(0)
             await asyncio.sleep(0)
         assert leader.phase is LeaderPhase.OVER
