--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -31,8 +31,8 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
 from peathall.jobs import records
+from peathall.jobs.admission import rejection_reason
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.service import rejection_reason
 from peathall.leadership.lease import LeaderLease
 from peathall.protocol.jobs import JobSpec, spec_from_record, spec_to_record
 from peathall.store.client import ConflictError, Delete, KeyValue, Put, StoreError
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -39,7 +39,8 @@
 from peathall.config.modes import Mode
 from peathall.config.platform import Params
 from peathall.jobs.background import BackgroundTasks
-from peathall.jobs.service import JobResponse, Jobs
+from peathall.jobs.responses import RETRY_LATER, JobResponse
+from peathall.jobs.service import Jobs
 from peathall.leadership.election import TERM_KEY, TermRecord
 from peathall.placement.quotas import TeamQuotas
 from peathall.placement.views import JobView, MachineView, Plan
@@ -285,16 +286,16 @@
         """What the home answers to a user; 503 if it does not, or is no neighbour any more."""
         cell = self.cells.get(self.home_of(job_id) or "")
         if cell is None:
-            return 503, None
+            return RETRY_LATER
         try:
             answer = await cell.user_request(
                 UserRequest(self.own.name, cell.name, operation, job_id)
             )
         except CellError as exc:
             log.debug("asking the home of %s: %s", job_id, exc)
-            return 503, None
+            return RETRY_LATER
         # It is borrowed, so its home has accepted it.
-        return (answer.status, answer.value) if answer.status == 200 else (503, None)
+        return JobResponse(answer.status, answer.value) if answer.status == 200 else RETRY_LATER
 
     # --- spilling ------------------------------------------------------------
     def note_unplaced(self, plan: Plan) -> None:
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -9,6 +9,7 @@
 import re
 import time
 from collections.abc import Awaitable, Callable
+from http import HTTPStatus
 from typing import TYPE_CHECKING, Any
 
 import msgspec
@@ -25,8 +26,9 @@
 from peathall.http.message import Request, Response
 from peathall.http.request_queue import RequestClass, RequestQueue
 from peathall.http.server import HttpServer
+from peathall.jobs import responses
 from peathall.jobs.follower import FollowerService
-from peathall.jobs.service import RETRY_LATER, JobResponse
+from peathall.jobs.responses import BAD_REQUEST, NOT_FOUND, RETRY_LATER, JobResponse
 from peathall.leader.term import Leader
 from peathall.leadership.election import Election, LeaderTerm
 from peathall.operator_config.settings import Operator
@@ -204,8 +206,9 @@
             try:
                 item = await self.store.get(TYPES)
                 if item is not None:
-                    types = [machine_type_from_wire(x) for x in item.value["builds"]]
-                    self.follower_service.types = {t.name: t for t in types}
+                    self.follower_service.set_types(
+                        machine_type_from_wire(wire) for wire in item.value["builds"]
+                    )
             except StoreError as exc:
                 log.debug("reading machine types: %s", exc)
             await asyncio.sleep(constants.TYPES_S if self.follower_service.types else 2.0)
@@ -311,13 +314,13 @@
     async def _malformed(self, job_id: Any, why: str) -> JobResponse:
         """What can't be accepted may still be the repetition of what was: that one stays known,
         whatever is wrong with the repetition."""
-        known: JobResponse = (404, None)
+        known = NOT_FOUND
         if isinstance(job_id, str) and JOB_ID.match(job_id):
             known = await self._ask({"op": "query", "id": job_id})
-        if known[0] != 404:
+        if known.status != HTTPStatus.NOT_FOUND:
             return known
         log.info("malformed submission: %s", why)
-        return 400, {"error": why}
+        return responses.malformed(why)
 
     async def _ask(self, message: dict[str, Any], spec: JobSpec | None = None) -> JobResponse:
         """The leader here, the leader elsewhere, or else the store itself."""
@@ -330,10 +333,10 @@
                 try:
                     accepts = message["op"] == "accept"
                     limit = constants.FORWARD_ACCEPT_S if accepts else constants.FORWARD_S
-                    answer = await self.peers.forward(
-                        leader_name, message, limit, constants.ACCEPT_S
+                    answer = JobResponse(
+                        *await self.peers.forward(leader_name, message, limit, constants.ACCEPT_S)
                     )
-                    if answer[0] != 503:
+                    if answer.status != HTTPStatus.SERVICE_UNAVAILABLE:
                         return answer
                 except NoAnswerError as exc:
                     log.debug("forwarding: %s", exc)
@@ -356,7 +359,7 @@
         try:
             return await self._local(self.leader, message, None)
         except (KeyError, msgspec.ValidationError):
-            return 400, None
+            return BAD_REQUEST
 
     async def _fallback(self, message: dict[str, Any], spec: JobSpec | None) -> JobResponse:
         work: Awaitable[JobResponse]
--- a/peathall/jobs/__init__.py
+++ b/peathall/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `jobs`: accepting, querying and cancelling jobs, and their records."""
+"""Package `jobs`: accepting, querying and cancelling jobs, and their records."""
--- /dev/null
+++ b/peathall/jobs/duplicates.py
@@ -0,0 +1,55 @@
+"""Removing jobs from the second of two records that hold them.
+
+A job is in two records if the leader accepted it and, while no response of the leader got
+through, another controller as well; or while a record that is too large is being divided.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from peathall.cluster.job import Job
+from peathall.cluster.state import ClusterState
+from peathall.jobs.record_index import RecordIndex
+from peathall.jobs.records import rewrite_or_delete
+from peathall.protocol.codec import json_size
+from peathall.store.client import Put
+from peathall.store.writer import DeferredWriter, Mutation
+
+
+class DuplicateRemoval:
+    """Writes records without the jobs that another record holds."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        index: RecordIndex,
+        cleanup: DeferredWriter,
+        value_limit: int,
+        on_removed: Callable[[Job], None],
+    ) -> None:
+        self.cluster = cluster
+        self.index = index
+        self.cleanup = cleanup
+        self.value_limit = value_limit  # bytes of a record, as `json_size` counts them
+        self.on_removed = on_removed  # called for a job that only one record holds now
+
+    def schedule(self, record_key: str) -> None:
+        """Write the record without its duplicates, or delete it, once the rate limit allows."""
+        self.cleanup.defer(f"duplicate {record_key}", lambda: self._make_mutation(record_key))
+
+    def _make_mutation(self, record_key: str) -> Mutation | None:
+        if record_key in self.index.archiving:
+            return None  # scheduled again once that write has ended
+        held = self.index.jobs_by_record.get(record_key, ())
+        operation = rewrite_or_delete(
+            record_key, [self.cluster.jobs[job_id].spec for job_id in held]
+        )
+        if isinstance(operation, Put) and json_size(operation.value) > self.value_limit:
+            return None  # scheduled again once one of its jobs is archived
+        return Mutation({}, [operation]).then(lambda: self._removed(record_key))
+
+    def _removed(self, record_key: str) -> None:
+        for job_id in self.index.clear_duplicates(record_key):
+            if job_id in self.cluster.jobs:
+                self.on_removed(self.cluster.jobs[job_id])
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -1,89 +1,104 @@
-"""Users' requests at a controller that cannot reach the leader: straight to the store.
+"""Users' requests at a controller that can't reach the leader: answered from the state service.
 
-An accept is a create-if-absent and a query reads, so both are safe beside any
-leader. A cancellation has to wait, since a leader answers from memory.
+A submission creates a record only if there is none, and a query only reads, so both are safe
+whatever a leader does meanwhile. A cancellation has to wait for a leader, since a leader answers
+queries from memory.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
+from collections.abc import Iterable
 
 from peathall import constants
 from peathall.cells.model import BORROWED
 from peathall.config.platform import Params
-from peathall.jobs import records
+from peathall.jobs import records, responses
+from peathall.jobs.admission import rejection_reason
 from peathall.jobs.live_index import LiveJobIndex
-from peathall.jobs.service import RETRY_LATER, JobResponse, rejection_reason
+from peathall.jobs.responses import NOT_FOUND, RETRY_LATER, JobResponse
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, JobStatus, encode_job_status, spec_to_record
 from peathall.store.client import ConflictError, Put, StoreClient
 
 
 class FollowerService:
-    """While controllers can't reach one another, the polls of all users come here. What is
-    not archived is known from `live`; how an archived job ended never changes, so that what
-    was read of it saves later reads."""
+    """Answers submissions and queries. All users may poll here while the leader is unreachable,
+    so as few requests as possible go to the state service: one read brings the live jobs up to
+    date for all queries that wait for it, and final statuses, which never change, are cached."""
 
     def __init__(self, store: StoreClient, params: Params, cells: bool = False) -> None:
-        self.cells = cells  # jobs of other cells may stand in the store as well
+        self.cells = cells  # whether the state service may hold borrowed jobs too
         self.store = store
         self.params = params
         self.live = LiveJobIndex(store)
         self.types: dict[str, MachineType] = {}
-        self.final_responses: OrderedDict[str, JobResponse] = OrderedDict()
+        self._final_responses: OrderedDict[str, JobResponse] = OrderedDict()  # the latest last
 
-    def _learn(self, job_id: str, end: JobResponse) -> JobResponse:
-        self.final_responses[job_id] = end
-        self.final_responses.move_to_end(job_id)
-        if len(self.final_responses) > constants.REMEMBERED_JOBS:
-            self.final_responses.popitem(last=False)
-        return end
+    def set_types(self, types: Iterable[MachineType]) -> None:
+        """All machine types; submissions are deferred until they are known."""
+        self.types = {machine_type.name: machine_type for machine_type in types}
 
     async def query(self, job_id: str) -> JobResponse:
-        """Answer a poll from the store."""
-        end = self.final_responses.get(job_id)
-        if end is not None:
-            return end
+        """The response to a query; StoreError on failure."""
+        final = self._final_responses.get(job_id)
+        if final is not None:
+            return final
         await self.live.refresh()
-        return await self._known(job_id) or (404, None)
-
-    async def _known(self, job_id: str) -> JobResponse | None:
-        """As `live` has it just now, and else from what is archived. Whoever archives a job
-        takes it out of `live` in the same commit, so what stands there is not over yet."""
-        if job_id in self.live.held:
-            end = self.live.ends.get(job_id)
-            if end is not None:
-                return self._learn(job_id, final(job_id, end))
-            return 200, encode_job_status(job_id, JobStatus.QUEUED)
-        past = await self.store.get(records.PAST + job_id)
-        if past is None:
-            borrowed = self.cells and await self.store.get(BORROWED + job_id) is not None
-            return RETRY_LATER if borrowed else None  # its home is asked by the leader
-        return self._learn(job_id, final(job_id, records.read_final(past.value)))
+        return await self._find(job_id) or NOT_FOUND
 
     async def accept(self, spec: JobSpec) -> JobResponse:
-        """Create the job in the store, if it is not known there."""
-        if spec.id in self.final_responses:
-            return self.final_responses[spec.id]
+        """Store the job unless it is known; the response to its user.
+
+        Raises StoreError: whether the job is stored is then unknown.
+        """
+        final = self._final_responses.get(spec.id)
+        if final is not None:
+            return final
         await self.live.refresh()
-        if spec.id not in self.live.held:
+        if spec.id not in self.live.record_counts:
             if not self.types:
-                return await self._known(spec.id) or RETRY_LATER
-            why = rejection_reason(spec, self.types, self.params)
-            if why is not None:
-                return await self._known(spec.id) or (422, {"error": why})
+                return await self._find(spec.id) or RETRY_LATER
+            reason = rejection_reason(spec, self.types, self.params)
+            if reason is not None:
+                return await self._find(spec.id) or responses.rejected(reason)
             try:
-                absent = [records.JOB, records.PAST, *([BORROWED] if self.cells else [])]
-                await self.store.commit(
-                    {key + spec.id: 0 for key in absent},
-                    [Put(records.JOB + spec.id, spec_to_record(spec))],
-                )
-                return 201, encode_job_status(spec.id, JobStatus.QUEUED)
+                await self._create(spec)
+                return responses.accepted(spec.id)
             except ConflictError:
-                await self.live.refresh()  # accepted before, perhaps over already
-        return await self._known(spec.id) or RETRY_LATER
+                await self.live.refresh()  # accepted before, perhaps archived already
+        return await self._find(spec.id) or RETRY_LATER
 
+    async def _create(self, spec: JobSpec) -> None:
+        """Store the job; ConflictError if it is live, archived or borrowed."""
+        prefixes = [records.JOB, records.PAST, *([BORROWED] if self.cells else [])]
+        await self.store.commit(
+            {prefix + spec.id: 0 for prefix in prefixes},
+            [Put(records.JOB + spec.id, spec_to_record(spec))],
+        )
+
+    async def _find(self, job_id: str) -> JobResponse | None:
+        """The job's status from the live jobs as last read, or else from the archive; None if it
+        is in neither.
+
+        A job is archived and removed from the live jobs in one transaction, so what is not live is
+        archived, unless it was never accepted.
+        """
+        if job_id in self.live.record_counts:
+            final = self.live.final_statuses.get(job_id)
+            if final is not None:
+                return self._cache_final(job_id, final)
+            return responses.found(encode_job_status(job_id, JobStatus.QUEUED))
+        archived = await self.store.get(records.PAST + job_id)
+        if archived is None:
+            borrowed = self.cells and await self.store.get(BORROWED + job_id) is not None
+            return RETRY_LATER if borrowed else None  # only a leader can ask the job's home
+        return self._cache_final(job_id, records.read_final(archived.value))
 
-def final(job_id: str, end: records.FinalRecord) -> JobResponse:
-    """The answer for a job that is over."""
-    return 200, encode_job_status(job_id, end.status, end.done)
+    def _cache_final(self, job_id: str, final: records.FinalRecord) -> JobResponse:
+        response = responses.found(encode_job_status(job_id, final.status, final.done))
+        self._final_responses[job_id] = response
+        self._final_responses.move_to_end(job_id)
+        if len(self._final_responses) > constants.REMEMBERED_JOBS:
+            self._final_responses.popitem(last=False)
+        return response
--- a/peathall/jobs/live_index.py
+++ b/peathall/jobs/live_index.py
@@ -1,7 +1,7 @@
-"""What the state service holds of jobs that are not archived, as another controller knows it.
+"""A follower's cache of the records of live jobs.
 
-Read when it is needed, and from then on kept by its news: one request tells all that has
-changed, and serves everyone who waits for it.
+It is filled when it is first needed, and from then on brought up to date by the changes since: one
+request reads all of them, for everyone who waits.
 """
 
 from __future__ import annotations
@@ -13,62 +13,76 @@
 
 
 class LiveJobIndex:
-    """What a follower remembers of the records of live jobs."""
+    """Which jobs are live, and the final statuses of those that are not archived yet."""
 
     def __init__(self, store: StoreClient) -> None:
         self.store = store
-        self.revision: int | None = None  # up to which the rest is known; None: read it all
-        self.jobs: dict[str, list[str]] = {}  # key -> jobs in that record
-        self.held: dict[str, int] = {}  # job -> number of records that hold it
-        self.ends: dict[str, records.FinalRecord] = {}  # by job
-        self.ended: dict[str, list[str]] = {}  # key -> jobs whose final state is in it
-        self.reading = SingleFlightRead(self._read)
+        self.record_counts: dict[str, int] = {}  # job id -> number of records that hold the job
+        self.final_statuses: dict[str, records.FinalRecord] = {}  # by job id
+        self._revision: int | None = None  # of the cached records; None: they have to be scanned
+        self._jobs_by_record: dict[str, list[str]] = {}  # record key -> job ids
+        self._jobs_by_final_record: dict[str, list[str]] = {}  # the same for final statuses
+        self._reading = SingleFlightRead(self._read)
 
     async def refresh(self) -> None:
-        """What is known afterwards is no older than this call."""
-        await self.reading.refresh()
+        """Bring the index up to date with all that was stored before this call; StoreError on
+        failure."""
+        await self._reading.refresh()
 
     async def _read(self) -> None:
-        if self.revision is None or not await self._catch_up(self.revision):
+        if self._revision is None or not await self._apply_changes(self._revision):
             items, revision = await self.store.scan(records.LIVE)
-            self.revision = None
-            self.jobs, self.held, self.ends, self.ended = {}, {}, {}, {}
+            self._clear()
             for item in items:
                 self._apply(item.key, item.value)
-            # Pages may be of different ages: what changed since the first one comes as news.
-            await self._catch_up(revision)
+            # The pages of a scan may be of different revisions: apply what has changed since the
+            # first of them.
+            await self._apply_changes(revision)
 
-    async def _catch_up(self, revision: int) -> bool:
-        """False if the service no longer knows what changed since then."""
-        news = await self.store.changes_since(records.LIVE, revision)
-        if news is None:
+    def _clear(self) -> None:
+        self._revision = None
+        self.record_counts = {}
+        self.final_statuses = {}
+        self._jobs_by_record = {}
+        self._jobs_by_final_record = {}
+
+    async def _apply_changes(self, revision: int) -> bool:
+        """Apply what changed after the revision; False if the service no longer knows that."""
+        changes = await self.store.changes_since(records.LIVE, revision)
+        if changes is None:
             return False
-        self.revision, changes = news
-        for change in changes:
-            self._apply(change.key, None if change.deleted else change.value)
+        self._revision, events = changes
+        for event in events:
+            self._apply(event.key, None if event.deleted else event.value)
         return True
 
     def _apply(self, key: str, value: Any) -> None:
+        """The record has this value now; None if it is deleted."""
         if key.startswith(records.ENDS):
-            self._apply_ends(key, value)
+            self._apply_final_statuses(key, value)
+        else:
+            self._apply_jobs(key, value)
+
+    def _apply_jobs(self, key: str, value: Any) -> None:
+        if value is None:
+            job_records: list[dict[str, Any]] = []
         else:
-            single = key.startswith(records.JOB)
-            held = [] if value is None else [value] if single else value["jobs"]
-            ids = [record["id"] for record in held]
-            for job_id in ids:
-                self.held[job_id] = self.held.get(job_id, 0) + 1
-            for job_id in self.jobs.pop(key, ()):
-                self.held[job_id] -= 1
-                if not self.held[job_id]:
-                    del self.held[job_id]
-            if ids:
-                self.jobs[key] = ids
+            job_records = [value] if key.startswith(records.JOB) else value["jobs"]
+        job_ids = [record["id"] for record in job_records]
+        for job_id in job_ids:
+            self.record_counts[job_id] = self.record_counts.get(job_id, 0) + 1
+        for job_id in self._jobs_by_record.pop(key, ()):
+            self.record_counts[job_id] -= 1
+            if not self.record_counts[job_id]:
+                del self.record_counts[job_id]
+        if job_ids:
+            self._jobs_by_record[key] = job_ids
 
-    def _apply_ends(self, key: str, value: Any) -> None:
-        for job_id in self.ended.pop(key, ()):
-            self.ends.pop(job_id, None)
+    def _apply_final_statuses(self, key: str, value: Any) -> None:
+        for job_id in self._jobs_by_final_record.pop(key, ()):
+            self.final_statuses.pop(job_id, None)
         if value is not None:
-            ends = records.read_ends(value)
-            self.ended[key] = [entry.job for entry in ends]
-            for entry in ends:
-                self.ends[entry.job] = records.FinalRecord(entry.status, entry.done)
+            entries = records.read_final_statuses(value)
+            self._jobs_by_final_record[key] = [entry.job for entry in entries]
+            for entry in entries:
+                self.final_statuses[entry.job] = records.FinalRecord(entry.status, entry.done)
--- /dev/null
+++ b/peathall/jobs/lookup.py
@@ -0,0 +1,83 @@
+"""What the leader knows of a job: from memory, or else from the state service."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Iterator
+from contextlib import contextmanager
+
+from peathall.cluster.state import ClusterState
+from peathall.jobs import records
+from peathall.jobs.external import ExternalJobs
+from peathall.jobs.responses import NOT_FOUND, JobResponse, current_status, found
+from peathall.protocol.jobs import encode_job_status
+from peathall.store.client import StoreClient
+
+
+class JobLookup:
+    """Answers queries. A response never contradicts one that another controller gave earlier."""
+
+    def __init__(self, cluster: ClusterState, store: StoreClient, external: ExternalJobs) -> None:
+        self.cluster = cluster
+        self.store = store
+        self.external = external
+        self._submissions: dict[str, asyncio.Future[str]] = {}  # job id -> write of its record
+
+    @contextmanager
+    def submission_in_progress(self, job_id: str, stored: asyncio.Future[str]) -> Iterator[None]:
+        """Inside, lookups of the job wait until its record is stored."""
+        self._submissions[job_id] = stored
+        try:
+            yield
+        finally:
+            self._submissions.pop(job_id, None)
+
+    def knows(self, job_id: str) -> bool:
+        """Whether a user of this cell has submitted a job of that name, from memory alone."""
+        job = self.cluster.jobs.get(job_id)
+        submitted_here = job is not None and not job.borrowed
+        return submitted_here or job_id in self._submissions or job_id in self.cluster.archived
+
+    def cached_response(self, job_id: str) -> JobResponse | None:
+        """The response to a query if no wait is needed, as for nearly all queries."""
+        job = self.cluster.jobs.get(job_id)
+        return current_status(job) if job is not None and job.finalizing is None else None
+
+    async def query(self, job_id: str) -> JobResponse:
+        """The response to a query that `cached_response` can't answer; StoreError on failure."""
+        return await self.find(job_id) or NOT_FOUND
+
+    async def find(self, job_id: str) -> JobResponse | None:
+        """The job's status from memory or else from the state service; None if there is none."""
+        return await self.find_in_memory(job_id) or await self.find_stored(job_id)
+
+    async def find_in_memory(self, job_id: str) -> JobResponse | None:
+        """The job's status once a write of it that is under way has ended; None if unknown."""
+        stored = self._submissions.get(job_id)
+        if stored is not None:
+            await asyncio.wait([stored])
+        job = self.cluster.jobs.get(job_id)
+        if job is not None and job.finalizing is not None:
+            # The final status may be stored already, and another controller may have read it
+            # and answered its user: an older status from here would contradict that.
+            await asyncio.wait([job.finalizing])
+            job = self.cluster.jobs.get(job_id)
+        if job is not None:
+            return current_status(job)
+        status = self.cluster.archived.get(job_id)
+        if status is not None:
+            return found(encode_job_status(job_id, status))
+        return None
+
+    async def find_stored(self, job_id: str) -> JobResponse | None:
+        """The job's status as the state service has it; memory is brought up to date with it."""
+        await self.external.refresh()
+        known = await self.find_in_memory(job_id)
+        if known is not None:
+            return known
+        item = await self.store.get(records.PAST + job_id)
+        if item is None:
+            return None
+        final = records.read_final(item.value)
+        self.cluster.note_archived(job_id, final.status)
+        return found(encode_job_status(job_id, final.status, final.done))
--- /dev/null
+++ b/peathall/jobs/record_division.py
@@ -0,0 +1,66 @@
+"""Dividing records that are larger than a value may be now.
+
+Such records were written when the limit on values was higher, and can't be written again as they
+are, not even with some jobs removed.
+"""
+
+from __future__ import annotations
+
+from peathall.cluster.job import Job
+from peathall.jobs.background import BackgroundTasks
+from peathall.jobs.duplicates import DuplicateRemoval
+from peathall.jobs.record_index import RecordIndex
+from peathall.protocol.codec import json_size
+from peathall.protocol.jobs import spec_to_record
+from peathall.store.shared_records import SharedRecordWriter
+
+
+class RecordDivision:
+    """Moves jobs out of a record until the rest of it can be written.
+
+    The moved jobs are stored in new records first, and only then is the old one written without
+    them: meanwhile two records hold them, but at no time none.
+    """
+
+    def __init__(
+        self,
+        index: RecordIndex,
+        shared_records: SharedRecordWriter,
+        duplicate_removal: DuplicateRemoval,
+        background: BackgroundTasks,
+        value_limit: int,
+    ) -> None:
+        self.index = index
+        self.shared_records = shared_records
+        self.duplicate_removal = duplicate_removal
+        self.background = background
+        self.value_limit = value_limit  # bytes of a record, as `json_size` counts them
+
+    def start(self, record_key: str, jobs: list[Job]) -> None:
+        """Divide the record, which holds these jobs, unless that is under way."""
+        if record_key in self.index.dividing:
+            return
+        self.index.dividing.add(record_key)
+        self.background.spawn(self._move(record_key, self._jobs_to_move(jobs)))
+
+    def _jobs_to_move(self, jobs: list[Job]) -> list[Job]:
+        limit = self.value_limit - json_size({"jobs": []})
+        sizes = [json_size(spec_to_record(job.spec)) + 1 for job in jobs]
+        # A job that fits into no record stays where it is until it is archived.
+        left = limit - sum(size for size in sizes if size > limit)
+        moving = []
+        for job, size in zip(jobs, sizes, strict=True):
+            if size <= left:
+                left -= size
+            elif size <= limit:
+                moving.append(job)
+        return moving
+
+    async def _move(self, record_key: str, jobs: list[Job]) -> None:
+        try:
+            writes = [self.shared_records.add(spec_to_record(job.spec)) for job in jobs]
+            for job, stored in zip(jobs, writes, strict=True):
+                self.index.move(job, record_key, await stored)
+            self.duplicate_removal.schedule(record_key)
+        finally:
+            self.index.dividing.discard(record_key)
--- /dev/null
+++ b/peathall/jobs/recovery.py
@@ -0,0 +1,73 @@
+"""Loading the stored jobs after a failover."""
+
+from __future__ import annotations
+
+from peathall.cluster.state import ClusterState
+from peathall.jobs import records
+from peathall.jobs.archive import JobArchive
+from peathall.jobs.final_status import FinalStatuses
+from peathall.jobs.registry import JobRegistry
+from peathall.store.client import KeyValue
+from peathall.store.writer import DeferredWriter, Writer
+
+
+class JobRecovery:
+    """Rebuilds a new leader's jobs from the records that earlier leaders left."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        writer: Writer,
+        cleanup: DeferredWriter,
+        registry: JobRegistry,
+        final_statuses: FinalStatuses,
+        archive: JobArchive,
+    ) -> None:
+        self.cluster = cluster
+        self.writer = writer
+        self.cleanup = cleanup
+        self.registry = registry
+        self.final_statuses = final_statuses
+        self.archive = archive
+
+    def load(self, live: list[KeyValue], done: list[KeyValue]) -> None:
+        """Register all live jobs with their final statuses and done tasks.
+
+        `live` are the records below records.LIVE, `done` those below records.DONE.
+        """
+        for item in live:
+            self.writer.versions[item.key] = item.version
+        # Jobs before their final statuses, and shared records before records of a single job:
+        # of two records that hold a job, the shared one is kept.
+        for item in live:
+            if item.key.startswith(records.JOBS):
+                for record in item.value["jobs"]:
+                    self.registry.register(record, item.key)
+        for item in live:
+            if item.key.startswith(records.JOB):
+                self.registry.register(item.value, item.key)
+        for item in live:
+            if item.key.startswith(records.ENDS):
+                self._load_final_statuses(item)
+        for item in done:
+            self._load_done_tasks(item)
+
+    def _load_final_statuses(self, item: KeyValue) -> None:
+        for entry in records.read_final_statuses(item.value):
+            job = self.cluster.jobs.get(entry.job)
+            if job is not None:
+                self.final_statuses.apply(job, entry.status, item.key)
+        if not self.archive.index.is_final_record_needed(item.key):
+            self.cleanup.defer_delete(item.key)
+
+    def _load_done_tasks(self, item: KeyValue) -> None:
+        self.writer.versions[item.key] = item.version
+        job = self.cluster.jobs.get(records.job_of_done_key(item.key))
+        if job is None:
+            self.cleanup.defer_delete(item.key)
+            return
+        job.done_keys.add(item.key)
+        for low, high in records.read_done(item.value).done:
+            job.done.add(low, high)
+            job.stored_done.add(low, high)
+            job.pending.remove(low, high)
--- a/peathall/jobs/remote.py
+++ b/peathall/jobs/remote.py
@@ -1,4 +1,4 @@
-"""What the jobs slice asks of other cells; without cells, nothing is anywhere else."""
+"""What the jobs of this cell need to know of other cells."""
 
 from __future__ import annotations
 
@@ -8,29 +8,31 @@
 
 
 class RemoteJobs(Protocol):
-    """Who knows of jobs that run in another cell, or that another cell's users submitted."""
+    """Jobs that run in another cell, and jobs that are borrowed from one."""
 
     def may_confirm_cancel(self, job: Job) -> bool:
-        """Whether all of the job must be gone within `cancel_s` from now, wherever it is. Asked
-        again until it is so."""
+        """Whether all tasks of the job, in whatever cell, are stopped within `cancel_s` from now.
+
+        Asked again until it is so.
+        """
 
     def finish_borrowed(self, job: Job) -> None:
-        """All tasks of a job of another cell are done."""
+        """All tasks of a borrowed job are done."""
 
     def accept_conditions(self, job_id: str) -> dict[str, int]:
-        """Further conditions on which a job of this name may be accepted: keys and versions."""
+        """Further conditions for accepting a job of this name: keys and their versions."""
 
 
 class NoRemoteJobs:
-    """There are no other cells."""
+    """A deployment without other cells."""
 
     def may_confirm_cancel(self, job: Job) -> bool:
-        """All of it is here."""
+        """Always: all tasks of the job are in this cell."""
         return True
 
     def finish_borrowed(self, job: Job) -> None:
-        """No job is borrowed."""
+        """Never called: no job is borrowed."""
 
     def accept_conditions(self, job_id: str) -> dict[str, int]:
-        """None."""
+        """No further conditions."""
         return {}
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -17,7 +17,8 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Settings
 from peathall.jobs import records
-from peathall.jobs.service import RETRY_LATER, JobResponse, Jobs
+from peathall.jobs.responses import RETRY_LATER, JobResponse
+from peathall.jobs.service import Jobs
 from peathall.leadership.election import TERM_KEY, LeaderTerm
 from peathall.leadership.lease import first_attempt
 from peathall.operator_config.settings import Operator
@@ -103,8 +104,7 @@
             params,
             store,
             self.writer,
-            self._request_round,
-            self._cancelled,
+            self,
             wall,
             self.delegation.cleanup if self.delegation is not None else None,
             self,
--- a/peathall/protocol/codec.py
+++ b/peathall/protocol/codec.py
@@ -5,7 +5,9 @@
 from typing import Any
 
 import cbor2
+import msgspec
 import orjson
+from msgspec import Struct
 
 from peathall import constants
 from peathall.http.message import Response
@@ -47,3 +49,8 @@
 def json_size(value: Any) -> int:
     """Size in the form in which the protocol counts its limits."""
     return len(orjson.dumps(value))
+
+
+def struct_to_builtins(record: Struct) -> Any:
+    """The struct as dicts, lists and scalars with its encoded field names, ready for any codec."""
+    return msgspec.to_builtins(record)
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -15,7 +15,7 @@
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
-from peathall.jobs.service import rejection_reason
+from peathall.jobs.admission import rejection_reason
 from peathall.operator_config.settings import Operator
 from peathall.protocol import codec
 from peathall.protocol.cloud import machine_type_from_wire
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -7,11 +7,12 @@
 
 import msgspec
 
-from peathall.cluster.job import JobPhase
+from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.jobs import records
-from peathall.jobs.service import Jobs, rejection_reason
+from peathall.jobs.admission import rejection_reason
+from peathall.jobs.service import Jobs
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
 from peathall.protocol.jobs import JobStatus, encode_job_status, spec_to_record
@@ -26,7 +27,25 @@
 )
 
 
-def leader(store: FakeStore, term: int, limits: StateSettings = LIMITS) -> Jobs:
+class Listener:
+    """The jobs whose attempts were to be stopped, by id."""
+
+    def __init__(self) -> None:
+        self.stopped: list[str] = []
+
+    def state_changed(self) -> None:
+        pass
+
+    def stop_all(self, job: Job) -> None:
+        self.stopped.append(job.spec.id)
+
+
+def leader(
+    store: FakeStore,
+    term: int,
+    limits: StateSettings = LIMITS,
+    listener: Listener | None = None,
+) -> Jobs:
     client: Any = store
     store.write("lead", {"term": term})
     cluster = ClusterState(term, 0)
@@ -34,7 +53,7 @@
     shown = GuardKey("lead", {"term": term}, store.revision, None)
     writer = Writer(client, limits, shown, lambda: True, lambda: None)
     params = msgspec.structs.replace(PARAMS, state=limits)
-    return Jobs(cluster, params, client, writer, lambda: None, lambda job: None, lambda: 0.0)
+    return Jobs(cluster, params, client, writer, listener or Listener(), lambda: 0.0)
 
 
 async def rebuilt(store: FakeStore, term: int) -> Jobs:
@@ -131,7 +150,7 @@
         jobs.register(spec_to_record(spec(id="j-4")), "live/job/j-4")
         jobs.register(spec_to_record(spec(id="j-4")), "live/jobs/00000002-0000001")
         assert jobs.cluster.jobs["j-4"].record_key == "live/jobs/00000002-0000001"
-        assert list(jobs.archive.jobs_by_record["live/jobs/00000002-0000001"]) == ["j-4"]
+        assert list(jobs.archive.index.jobs_by_record["live/jobs/00000002-0000001"]) == ["j-4"]
         running.cancel()
 
     asyncio.run(run())
@@ -143,16 +162,15 @@
 
     async def run() -> None:
         store = FakeStore()
-        jobs = leader(store, 1)
-        stopped: list[str] = []
-        jobs.on_cancelled = lambda job: stopped.append(job.spec.id)
+        listener = Listener()
+        jobs = leader(store, 1, listener=listener)
         writing = asyncio.create_task(jobs.writer.run())
         await jobs.accept(spec(id="j-1", tasks=2, team="t"))
         store.lose = [True] + [False] * 3
         cancelling = asyncio.create_task(jobs.cancel("j-1"))
         await asyncio.sleep(0)
         job = jobs.cluster.jobs["j-1"]
-        assert (stopped, job.phase) == (["j-1"], JobPhase.CANCELLING)
+        assert (listener.stopped, job.phase) == (["j-1"], JobPhase.CANCELLING)
         assert not job.is_final
         assert jobs.cached_response("j-1") is None  # neither what it was nor what it may be
         assert (await cancelling)[1]["standing"] == "aborted"  # type: ignore[index]
@@ -193,7 +211,7 @@
         store.write("live/jobs/1-2", {"jobs": [held[2], held[3]]})
         store.write("live/ends/1-1", {"ends": [["j-2", "aborted", 0]]})
         jobs = await rebuilt(store, 2)
-        assert not jobs.archive.can_go(jobs.cluster.jobs["j-2"])
+        assert not jobs.archive.can_archive(jobs.cluster.jobs["j-2"])
         writing = asyncio.create_task(jobs.writer.run())
         await settle(jobs)
         await review(jobs)
@@ -244,7 +262,7 @@
             await asyncio.sleep(0)
         await settle(jobs)
         assert {f"past/{job_id}" for job_id in over} <= store.data.keys()
-        assert not jobs.archive.duplicates
+        assert not jobs.archive.index.duplicates
         left = [
             r["id"] for k, (v, _) in store.data.items() if k[:9] == "live/jobs" for r in v["jobs"]
         ]
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -34,6 +34,7 @@
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, DutyStatus
 from peathall.http.message import Request, Response
+from peathall.jobs.responses import JobResponse
 from peathall.leadership.election import LeaderRecord, TermRecord
 from peathall.operator_config.file import load_operator
 from peathall.operator_config.settings import Operator
@@ -104,17 +105,17 @@
     def is_active(self) -> bool:
         return True
 
-    async def accept(self, spec: Any) -> Any:
+    async def accept(self, spec: Any) -> JobResponse:
         self.asked.append(spec_to_record(spec))
-        return self.answer
+        return JobResponse(*self.answer)
 
-    async def query(self, job_id: str) -> Any:
+    async def query(self, job_id: str) -> JobResponse:
         self.asked.append(("query", job_id))
-        return self.answer
+        return JobResponse(*self.answer)
 
-    async def cancel(self, job_id: str) -> Any:
+    async def cancel(self, job_id: str) -> JobResponse:
         self.asked.append(("cancel", job_id))
-        return self.answer
+        return JobResponse(*self.answer)
 
     async def handle_heartbeat(self, report: Any) -> Any:
         self.asked.append(report_values(report))
@@ -563,7 +564,7 @@
     node = new_node()
     nothing_listed = {"items": [], "more": False, "epoch": 1}
     node.store.http = RecordedHttp((200, nothing_listed), (200, {"epoch": 1, "news": []}), answer)
-    node.follower_service.types = {"g8": machine_type_from_wire(BUILD)}
+    node.follower_service.set_types([machine_type_from_wire(BUILD)])
     return node, node.store.http
 
 
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -10,10 +10,10 @@
 from peathall.cluster.ranges import Ranges
 from peathall.config.platform import StateSettings
 from peathall.jobs.follower import FollowerService
-from peathall.jobs.records import DONE, block_tasks, done_key, done_record, to_value
+from peathall.jobs.records import DONE, block_tasks, done_key, done_record
 from peathall.leadership.lease import LeaderLease, fencing_token, first_attempt
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
-from peathall.protocol.codec import json_size
+from peathall.protocol.codec import json_size, struct_to_builtins
 from peathall.store.client import (
     ConflictError,
     InvalidTransactionError,
@@ -253,7 +253,7 @@
     size = block_tasks(8.0)
     worst = Ranges([(n, n + 1) for n in range(99_000, 99_000 + 3 * size, 2)])
     for block in range(99_000 // size, (99_000 + 3 * size) // size + 1):
-        assert json_size(to_value(done_record(worst, block, size))) < 8 * 1024
+        assert json_size(struct_to_builtins(done_record(worst, block, size))) < 8 * 1024
     entries = [RoundEntry(f"j-{n}", n, "m-1", [[0, n]]) for n in range(2000)]
     pieces = split_entries(entries, 2000)
     assert [e for piece in pieces for e in piece] == entries
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -357,7 +357,7 @@
             assert (gang.spec, service.spec) == (gang_spec(), service_spec())
             live = LiveJobIndex(jobs.store)
             await live.refresh()
-            assert live.held == {"j-41": 1, "j-42": 1}
+            assert live.record_counts == {"j-41": 1, "j-42": 1}
 
     play(test)
 
@@ -366,10 +366,10 @@
     async def test(store: RecordingStore) -> None:
         client: Any = store
         follower_service = FollowerService(client, PARAMS)
-        follower_service.types = {"g": machine_type()}
+        follower_service.set_types([machine_type()])
         assert (await follower_service.accept(gang_spec()))[0] == 201
         await follower_service.live.refresh()
-        assert follower_service.live.held == {"j-41": 1}
+        assert follower_service.live.record_counts == {"j-41": 1}
         async with leading(store) as jobs:
             jobs.load([item(JOB_KEY, GANG)], [], 3)
             assert jobs.cluster.jobs["j-41"].spec == gang_spec()
@@ -406,7 +406,7 @@
             assert gang.final_record_key == service.final_record_key == ENDS_KEY
             live = LiveJobIndex(jobs.store)
             await live.refresh()
-            assert [(job, x.status, x.done) for job, x in live.ends.items()] == [
+            assert [(job, x.status, x.done) for job, x in live.final_statuses.items()] == [
                 ("j-41", JobStatus.CANCELLED, 1), ("j-42", JobStatus.DONE, 3),
             ]  # fmt: skip
 
