--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -9,7 +9,6 @@
 import re
 import time
 from collections.abc import Awaitable, Callable
-from http import HTTPStatus
 from typing import TYPE_CHECKING, Any
 
 import msgspec
@@ -317,7 +316,7 @@
         known = NOT_FOUND
         if isinstance(job_id, str) and JOB_ID.match(job_id):
             known = await self._ask({"op": "query", "id": job_id})
-        if known.status != HTTPStatus.NOT_FOUND:
+        if known.status != NOT_FOUND.status:
             return known
         log.info("malformed submission: %s", why)
         return responses.malformed(why)
@@ -336,7 +335,7 @@
                     answer = JobResponse(
                         *await self.peers.forward(leader_name, message, limit, constants.ACCEPT_S)
                     )
-                    if answer.status != HTTPStatus.SERVICE_UNAVAILABLE:
+                    if answer.status != RETRY_LATER.status:
                         return answer
                 except NoAnswerError as exc:
                     log.debug("forwarding: %s", exc)
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -62,6 +62,10 @@
         """This record holds the job's final status."""
         self.index.add_final_status(job, record_key)
 
+    def is_final_record_needed(self, record_key: str) -> bool:
+        """Whether the record holds the final status of a job that is not archived."""
+        return self.index.is_final_record_needed(record_key)
+
     def archive_if_over(self, job: Job) -> None:
         """Schedule the archiving of the job, if it can be archived."""
         if self.can_archive(job) and self.cluster.jobs.get(job.spec.id) is job:
--- a/peathall/jobs/lookup.py
+++ b/peathall/jobs/lookup.py
@@ -38,13 +38,8 @@
         submitted_here = job is not None and not job.borrowed
         return submitted_here or job_id in self._submissions or job_id in self.cluster.archived
 
-    def cached_response(self, job_id: str) -> JobResponse | None:
-        """The response to a query if no wait is needed, as for nearly all queries."""
-        job = self.cluster.jobs.get(job_id)
-        return current_status(job) if job is not None and job.finalizing is None else None
-
     async def query(self, job_id: str) -> JobResponse:
-        """The response to a query that `cached_response` can't answer; StoreError on failure."""
+        """The response to a query, after writes of the job under way; StoreError on failure."""
         return await self.find(job_id) or NOT_FOUND
 
     async def find(self, job_id: str) -> JobResponse | None:
--- a/peathall/jobs/recovery.py
+++ b/peathall/jobs/recovery.py
@@ -57,7 +57,7 @@
             job = self.cluster.jobs.get(entry.job)
             if job is not None:
                 self.final_statuses.apply(job, entry.status, item.key)
-        if not self.archive.index.is_final_record_needed(item.key):
+        if not self.archive.is_final_record_needed(item.key):
             self.cleanup.defer_delete(item.key)
 
     def _load_done_tasks(self, item: KeyValue) -> None:
--- a/peathall/jobs/responses.py
+++ b/peathall/jobs/responses.py
@@ -8,6 +8,8 @@
 from peathall.cluster.job import Job, JobPhase
 from peathall.protocol.jobs import JobStatus, encode_job_status
 
+_OK = HTTPStatus.OK  # looking up a member of an enum is slow, and most queries need this one
+
 
 class JobResponse(NamedTuple):
     """An answer to a submission, a query or a cancellation."""
@@ -24,7 +26,7 @@
 
 def found(body: dict[str, Any]) -> JobResponse:
     """The status of a known job; `body` as `encode_job_status` makes it."""
-    return JobResponse(HTTPStatus.OK, body)
+    return JobResponse(_OK, body)
 
 
 def accepted(job_id: str) -> JobResponse:
@@ -46,4 +48,5 @@
     """The status of a live job, with only those done tasks that are stored."""
     done = job.spec.tasks if job.phase is JobPhase.DONE else len(job.stored_done)
     running = job.running if job.phase is JobPhase.ACTIVE else 0
-    return found(encode_job_status(job.spec.id, job.status, done, running))
+    body = encode_job_status(job.spec.id, job.status, done, running)
+    return JobResponse(_OK, body)
--- a/peathall/jobs/service.py
+++ b/peathall/jobs/service.py
@@ -23,6 +23,7 @@
 from peathall.jobs.remote import NoRemoteJobs, RemoteJobs
 from peathall.jobs.responses import RETRY_LATER as RETRY_LATER
 from peathall.jobs.responses import JobResponse as JobResponse
+from peathall.jobs.responses import current_status
 from peathall.jobs.submission import JobSubmission
 from peathall.protocol.jobs import JobSpec
 from peathall.store.client import KeyValue, StoreClient
@@ -104,7 +105,8 @@
 
     def cached_response(self, job_id: str) -> JobResponse | None:
         """The response to a query if no wait is needed, as for nearly all queries."""
-        return self._lookup.cached_response(job_id)
+        job = self.cluster.jobs.get(job_id)
+        return current_status(job) if job is not None and job.finalizing is None else None
 
     async def query(self, job_id: str) -> JobResponse:
         """The response to any other query. Raises what fails a read."""
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -1,11 +1,14 @@
-"""Records of jobs: shared, rewritten when some are archived, and their duplicates elsewhere."""
+"""Jobs at the leader: admission, shared records, archiving, and duplicates of records."""
 
 from __future__ import annotations
 
 import asyncio
+from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from typing import Any
 
 import msgspec
+import pytest
 
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
@@ -56,7 +59,7 @@
     return Jobs(cluster, params, client, writer, listener or Listener(), lambda: 0.0)
 
 
-async def rebuilt(store: FakeStore, term: int) -> Jobs:
+async def recovered(store: FakeStore, term: int) -> Jobs:
     jobs = leader(store, term)
     live, revision = await store.scan(records.LIVE)
     done, _ = await store.scan(records.DONE)
@@ -64,8 +67,19 @@
     return jobs
 
 
+@asynccontextmanager
+async def writing(jobs: Jobs) -> AsyncIterator[None]:
+    """Run the writer of the jobs inside; what it has begun at the end is still finished."""
+    task = asyncio.create_task(jobs.writer.run())
+    try:
+        yield
+    finally:
+        jobs.writer.stop()
+        await task
+
+
 async def settle(jobs: Jobs) -> None:
-    """Until nothing is left to be written."""
+    """Wait until nothing is left to be written."""
     for _ in range(200):
         await asyncio.sleep(0)
         if not (
@@ -74,58 +88,57 @@
             break
 
 
-async def review(jobs: Jobs) -> None:
+async def review_all(jobs: Jobs) -> None:
     for job in list(jobs.cluster.jobs.values()):
         jobs.review(job)
     await settle(jobs)
 
 
-def ends(jobs: Jobs, *ids: str) -> None:
+def report_all_done(jobs: Jobs, *ids: str) -> None:
     for job_id in ids:
         job = jobs.cluster.jobs[job_id]
         job.mark_all_done()
         jobs.note_done(job)
 
 
-def test_a_duplicate_in_another_record_never_brings_an_archived_job_back() -> None:
-    """Accepted by the leader and, late, by a follower that had no answer: once the job was
-    over, that other record would have made it an accepted job again after a take-over."""
+def test_a_record_of_another_controller_never_makes_an_archived_job_live_again() -> None:
+    """The leader accepts the job, and so does, late, a follower that got no response: once the job
+    is archived, the follower's record would make it live again after a failover."""
 
     async def run() -> None:
         store = FakeStore()
         jobs = leader(store, 1)
-        running = asyncio.create_task(jobs.writer.run())
-        ids = [f"j-{n}" for n in range(5)]
-        answers = await asyncio.gather(*(jobs.accept(spec(id=job_id)) for job_id in ids))
-        assert [status for status, _ in answers] == [201] * 5
-        assert len([k for k in store.data if k.startswith(records.JOBS)]) == 1
-        store.write("live/job/j-1", spec_to_record(spec(id="j-1")))  # we don't hear of it
-        ends(jobs, "j-0", "j-1", "j-2")
-        for _ in range(4):
-            await review(jobs)
-        assert sorted(jobs.cluster.jobs) == ["j-3", "j-4"]
-        assert {k for k in store.data if k.startswith(records.PAST)} == {
-            "past/j-0", "past/j-1", "past/j-2",
-        }  # fmt: skip
-        assert "live/job/j-1" not in store.data
-        running.cancel()
-
-        later = await rebuilt(store, 2)
-        assert sorted(later.cluster.jobs) == ["j-3", "j-4"]
-        running = asyncio.create_task(later.writer.run())
-        assert (await later.query("j-1"))[1] == encode_job_status("j-1", JobStatus.DONE, 1)
-        assert (await later.query("j-9"))[0] == 404
-        ends(later, "j-3", "j-4")
-        for _ in range(4):
-            await review(later)
-        assert not [k for k in store.data if k.startswith(records.LIVE)]  # nothing is left over
-        running.cancel()
+        async with writing(jobs):
+            ids = [f"j-{n}" for n in range(5)]
+            responses = await asyncio.gather(*(jobs.accept(spec(id=job_id)) for job_id in ids))
+            assert [status for status, _ in responses] == [201] * 5
+            assert len([k for k in store.data if k.startswith(records.JOBS)]) == 1
+            # Written by a follower, and not read by the leader.
+            store.write("live/job/j-1", spec_to_record(spec(id="j-1")))
+            report_all_done(jobs, "j-0", "j-1", "j-2")
+            for _ in range(4):
+                await review_all(jobs)
+            assert sorted(jobs.cluster.jobs) == ["j-3", "j-4"]
+            assert {k for k in store.data if k.startswith(records.PAST)} == {
+                "past/j-0", "past/j-1", "past/j-2",
+            }  # fmt: skip
+            assert "live/job/j-1" not in store.data
+
+        successor = await recovered(store, 2)
+        assert sorted(successor.cluster.jobs) == ["j-3", "j-4"]
+        async with writing(successor):
+            assert (await successor.query("j-1"))[1] == encode_job_status("j-1", JobStatus.DONE, 1)
+            assert (await successor.query("j-9"))[0] == 404
+            report_all_done(successor, "j-3", "j-4")
+            for _ in range(4):
+                await review_all(successor)
+            assert not [k for k in store.data if k.startswith(records.LIVE)]  # nothing is left over
 
     asyncio.run(run())
 
 
-def test_a_job_that_two_records_hold_is_one_job_and_keeps_the_shared_one() -> None:
-    """Whichever is read first: dropping the shared record would forget its other jobs."""
+def test_a_job_that_two_records_hold_is_one_job_and_stays_in_the_shared_record() -> None:
+    """Whichever is read first: deleting the shared record would lose its other jobs."""
 
     async def run() -> None:
         store = FakeStore()
@@ -139,70 +152,66 @@
             ),
         ):
             store.write(key, value)
-        jobs = await rebuilt(store, 2)
-        running = asyncio.create_task(jobs.writer.run())
-        await settle(jobs)
-        assert sorted(jobs.cluster.jobs) == ["j-1", "j-2", "j-3"]
-        assert jobs.cluster.jobs["j-2"].status is JobStatus.CANCELLED
-        assert "live/job/j-1" not in store.data
-        assert "live/jobs/00000001-0000001" in store.data
-        # News of it that came before what we knew ourselves: the shared record stays.
-        jobs.register(spec_to_record(spec(id="j-4")), "live/job/j-4")
-        jobs.register(spec_to_record(spec(id="j-4")), "live/jobs/00000002-0000001")
-        assert jobs.cluster.jobs["j-4"].record_key == "live/jobs/00000002-0000001"
-        assert list(jobs.archive.index.jobs_by_record["live/jobs/00000002-0000001"]) == ["j-4"]
-        running.cancel()
+        jobs = await recovered(store, 2)
+        async with writing(jobs):
+            await settle(jobs)
+            assert sorted(jobs.cluster.jobs) == ["j-1", "j-2", "j-3"]
+            assert jobs.cluster.jobs["j-2"].status is JobStatus.CANCELLED
+            assert "live/job/j-1" not in store.data
+            assert "live/jobs/00000001-0000001" in store.data
+            # The record of the other controller is read before ours: the shared record stays too.
+            jobs.register(spec_to_record(spec(id="j-4")), "live/job/j-4")
+            jobs.register(spec_to_record(spec(id="j-4")), "live/jobs/00000002-0000001")
+            assert jobs.cluster.jobs["j-4"].record_key == "live/jobs/00000002-0000001"
+            assert list(jobs.archive.index.jobs_by_record["live/jobs/00000002-0000001"]) == ["j-4"]
 
     asyncio.run(run())
 
 
-def test_a_cancelled_job_s_tasks_end_before_the_store_has_answered() -> None:
-    """The answer to the cancellation may be lost, while another controller reads it and tells the
-    user: workers that are answered without the stop until then would keep the tasks too long."""
+def test_tasks_of_a_cancelled_job_are_stopped_before_the_cancellation_is_stored() -> None:
+    """The answer to the write may be lost, while another controller reads the cancellation and
+    answers the user: workers whose heartbeats are answered without the stop command until then
+    would run the tasks for too long."""
 
     async def run() -> None:
         store = FakeStore()
         listener = Listener()
         jobs = leader(store, 1, listener=listener)
-        writing = asyncio.create_task(jobs.writer.run())
-        await jobs.accept(spec(id="j-1", tasks=2, team="t"))
-        store.lose = [True] + [False] * 3
-        cancelling = asyncio.create_task(jobs.cancel("j-1"))
-        await asyncio.sleep(0)
-        job = jobs.cluster.jobs["j-1"]
-        assert (listener.stopped, job.phase) == (["j-1"], JobPhase.CANCELLING)
-        assert not job.is_final
-        assert jobs.cached_response("j-1") is None  # neither what it was nor what it may be
-        assert (await cancelling)[1]["standing"] == "aborted"  # type: ignore[index]
-        assert job.phase is JobPhase.CANCELLED
-        jobs.writer.stop()
-        await writing
+        async with writing(jobs):
+            await jobs.accept(spec(id="j-1", tasks=2, team="t"))
+            store.lose = [True] + [False] * 3
+            cancelling = asyncio.create_task(jobs.cancel("j-1"))
+            await asyncio.sleep(0)
+            job = jobs.cluster.jobs["j-1"]
+            assert (listener.stopped, job.phase) == (["j-1"], JobPhase.CANCELLING)
+            assert not job.is_final
+            assert jobs.cached_response("j-1") is None  # neither what it was nor what it may be
+            assert (await cancelling)[1]["standing"] == "aborted"  # type: ignore[index]
+            assert job.phase is JobPhase.CANCELLED
 
     asyncio.run(run())
 
 
-def test_a_repetition_that_could_not_run_is_known_all_the_same() -> None:
-    """Archived under an earlier leader, it was known only to the store, and got 422."""
+def test_a_repeated_submission_that_would_be_rejected_gets_the_status_of_the_job() -> None:
+    """Also if an earlier leader archived the job, so that only the state service knows of it."""
 
     async def run() -> None:
         store = FakeStore()
         store.write("past/j-1", {"standing": "done", "done": 2})
         store.write("live/job/j-2", spec_to_record(spec(id="j-2", team="t")))
         jobs = leader(store, 1)
-        writing = asyncio.create_task(jobs.writer.run())
-        for job_id, told in (("j-1", "done"), ("j-2", "queued")):
-            status, value = await jobs.accept(spec(id=job_id, team="nobody's"))
-            assert (status, value["standing"]) == (200, told)  # type: ignore[index]
-        assert (await jobs.accept(spec(id="j-3", team="nobody's")))[0] == 422
-        jobs.writer.stop()
-        await writing
+        async with writing(jobs):
+            for job_id, told in (("j-1", "done"), ("j-2", "queued")):
+                status, value = await jobs.accept(spec(id=job_id, team="nobody's"))
+                assert (status, value["standing"]) == (200, told)  # type: ignore[index]
+            assert (await jobs.accept(spec(id="j-3", team="nobody's")))[0] == 422
 
     asyncio.run(run())
 
 
-def test_of_two_shared_records_with_one_job_the_second_is_written_without_it() -> None:
-    """Dropping it would lose its other jobs; and while it holds an ended job, archiving that one
-    would let a new leader bring it back to life."""
+def test_a_job_in_two_shared_records_is_removed_from_the_second() -> None:
+    """Deleting that record would lose its other jobs; and archiving the job before it is removed
+    would let the next leader make it live again."""
 
     async def run() -> None:
         store = FakeStore()
@@ -210,25 +219,25 @@
         store.write("live/jobs/1-1", {"jobs": [held[1], held[2]]})
         store.write("live/jobs/1-2", {"jobs": [held[2], held[3]]})
         store.write("live/ends/1-1", {"ends": [["j-2", "aborted", 0]]})
-        jobs = await rebuilt(store, 2)
+        jobs = await recovered(store, 2)
         assert not jobs.archive.can_archive(jobs.cluster.jobs["j-2"])
-        writing = asyncio.create_task(jobs.writer.run())
-        await settle(jobs)
-        await review(jobs)
-        assert "past/j-2" in store.data
-        left = [
-            r["id"] for k in ("live/jobs/1-1", "live/jobs/1-2") for r in store.data[k][0]["jobs"]
-        ]
-        assert left == ["j-1", "j-3"]
-        jobs.writer.stop()
-        await writing
+        async with writing(jobs):
+            await settle(jobs)
+            await review_all(jobs)
+            assert "past/j-2" in store.data
+            left = [
+                r["id"]
+                for k in ("live/jobs/1-1", "live/jobs/1-2")
+                for r in store.data[k][0]["jobs"]
+            ]
+            assert left == ["j-1", "j-3"]
 
     asyncio.run(run())
 
 
-def test_a_record_of_larger_values_is_divided_before_it_is_written_again() -> None:
-    """It holds more than a value may have by now. New records stand before it is written without
-    their jobs, no job is ever in none, and each write fits."""
+def test_a_record_that_is_too_large_by_now_is_divided_before_it_is_written_again() -> None:
+    """The limit on values was higher when it was written. New records are stored before it is
+    written without their jobs, so that each job is in a record at any time, and each write fits."""
 
     class Small(FakeStore):
         def apply(self, conditions: dict[str, int], ops: list[Any]) -> int:
@@ -243,7 +252,7 @@
             ]
             past = [k[5:] for k in self.data if k.startswith("past/")]
             assert {f"j-{n}" for n in range(20)} == set(held) | set(past)
-            assert not set(held) & set(past)  # one that has ended would come back to life
+            assert not set(held) & set(past)  # an archived job would be made live again
             return revision
 
     async def run() -> None:
@@ -253,26 +262,71 @@
         jobs = leader(store, 2, StateSettings(100.0, 50.0, 2.0, 4))
         live, revision = await store.scan(records.LIVE)
         jobs.load(live, [], revision)
-        writing = asyncio.create_task(jobs.writer.run())
-        over = [f"j-{n}" for n in range(3, 18)]
-        ends(jobs, *over)
-        for _ in range(400):  # looked after at every step of what is written
-            for job in list(jobs.cluster.jobs.values()):
-                jobs.review(job)
-            await asyncio.sleep(0)
-        await settle(jobs)
-        assert {f"past/{job_id}" for job_id in over} <= store.data.keys()
-        assert not jobs.archive.index.duplicates
-        left = [
-            r["id"] for k, (v, _) in store.data.items() if k[:9] == "live/jobs" for r in v["jobs"]
-        ]
-        assert sorted(left) == sorted({f"j-{n}" for n in range(20)} - set(over))
-        jobs.writer.stop()
-        await writing
+        async with writing(jobs):
+            over = [f"j-{n}" for n in range(3, 18)]
+            report_all_done(jobs, *over)
+            for _ in range(400):  # reviewed between all steps of the writes
+                for job in list(jobs.cluster.jobs.values()):
+                    jobs.review(job)
+                await asyncio.sleep(0)
+            await settle(jobs)
+            assert {f"past/{job_id}" for job_id in over} <= store.data.keys()
+            assert not jobs.archive.index.duplicates
+            left = [
+                r["id"]
+                for k, (v, _) in store.data.items()
+                if k[:9] == "live/jobs"
+                for r in v["jobs"]
+            ]
+            assert sorted(left) == sorted({f"j-{n}" for n in range(20)} - set(over))
 
     asyncio.run(run())
 
 
+def test_a_submission_repeated_while_it_is_being_stored_is_accepted_once() -> None:
+    async def run() -> None:
+        store = FakeStore()
+        jobs = leader(store, 1)
+        async with writing(jobs):
+            submitted = spec(id="j-1", team="t")
+            first, second = await asyncio.gather(jobs.accept(submitted), jobs.accept(submitted))
+            assert (first.status, second.status) == (201, 200)
+            assert jobs.knows("j-1")
+            held = [
+                r["id"] for k, (v, _) in store.data.items() if k[:5] == "live/" for r in v["jobs"]
+            ]
+            assert held == ["j-1"]
+
+    asyncio.run(run())
+
+
+@pytest.mark.parametrize(
+    ("change", "reason"),
+    [
+        ({"team": "u"}, "unknown team"),
+        ({"types": ["h"]}, "a task fits no allowed machine type"),
+        ({"zone": "b"}, "a task fits no allowed machine type"),
+        ({"cpus": 9.0}, "a task fits no allowed machine type"),
+        ({"gpus": 1.0}, "a task fits no allowed machine type"),
+        ({"ram": 17.0}, "a task fits no allowed machine type"),
+        ({"gang": True, "tasks": 2, "spread": True}, "all tasks in one zone and at most half of"),
+        ({"gang": True, "tasks": 1, "spread": True}, None),
+        ({"gang": False, "tasks": 2, "spread": True}, None),
+    ],
+)
+def test_a_job_that_can_never_run_is_rejected(change: dict[str, Any], reason: str | None) -> None:
+    rejected = rejection_reason(spec(**{"team": "t"} | change), {"g": KIND}, PARAMS)
+    assert (rejected is None) == (reason is None)
+    assert (rejected or "").startswith(reason or "")
+
+
+def test_a_gang_needs_the_capacity_of_all_its_tasks_within_the_quota() -> None:
+    params = msgspec.structs.replace(PARAMS, teams=[Team("t", cpus_max=8.0)])
+    for tasks, accepted in ((8, True), (9, False)):
+        gang = spec(team="t", gang=True, cpus=1.0, tasks=tasks)
+        assert (rejection_reason(gang, {"g": KIND}, params) is None) == accepted
+
+
 def test_replicas_run_together_so_all_of_them_must_fit() -> None:
     types = {"g": KIND}
     team = Team("t", cpus_max=8.0)
