--- a/peathall/cells/disabled.py
+++ b/peathall/cells/disabled.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from peathall.cluster.job import Job
-from peathall.jobs.service import RETRY_LATER, JobResponse
+from peathall.jobs.responses import RETRY_LATER, JobResponse
 from peathall.placement.views import Plan
 from peathall.store.client import StoreClient
 
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -24,7 +24,8 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.modes import Mode
 from peathall.config.platform import Params
-from peathall.jobs.service import RETRY_LATER, JobResponse, Jobs
+from peathall.jobs.responses import RETRY_LATER, JobResponse
+from peathall.jobs.service import Jobs
 from peathall.leadership.election import TERM_KEY, TermRecord
 from peathall.placement.views import Plan
 from peathall.store.client import KeyValue, Put, StoreClient
@@ -176,7 +177,7 @@
         # It is borrowed, so its home has accepted it: another status is no answer.
         if response.status != HTTPStatus.OK:
             return RETRY_LATER
-        return response.status, response.value
+        return JobResponse(response.status, response.value)
 
     def note_unplaced(self, plan: Plan) -> None:
         """A round has found no capacity for these jobs: they may be handed off."""
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -207,8 +207,7 @@
             try:
                 item = await self.store.get(TYPES)
                 if item is not None:
-                    types = decode_machine_types(item.value)
-                    self.follower_service.types = {t.name: t for t in types}
+                    self.follower_service.set_types(decode_machine_types(item.value))
             except StoreError as exc:
                 log.debug("machine types not refreshed: %s", exc)
             await asyncio.sleep(constants.TYPES_S if self.follower_service.types else 2.0)
--- a/peathall/controller/job_requests.py
+++ b/peathall/controller/job_requests.py
@@ -12,7 +12,7 @@
 from peathall.http.client import NoAnswerError
 from peathall.http.request_queue import RequestClass, RequestQueue
 from peathall.jobs.follower import FollowerService
-from peathall.jobs.service import RETRY_LATER, JobResponse
+from peathall.jobs.responses import RETRY_LATER, JobResponse
 from peathall.leader.term import Leader
 from peathall.peers.client import Peers
 from peathall.peers.messages import AcceptRequest, JobRequest, QueryRequest
@@ -72,7 +72,7 @@
         except NoAnswerError as exc:
             log.debug("job request not forwarded to leader %s: %s", leader_name, exc)
             return None
-        return None if status == HTTPStatus.SERVICE_UNAVAILABLE else (status, value)
+        return None if status == HTTPStatus.SERVICE_UNAVAILABLE else JobResponse(status, value)
 
     async def _ask_follower(self, request: JobRequest) -> JobResponse:
         response: Awaitable[JobResponse]
--- a/peathall/controller/user_routes.py
+++ b/peathall/controller/user_routes.py
@@ -12,7 +12,7 @@
 from peathall.controller.job_requests import JobRequestRouter
 from peathall.http.message import Request, Response
 from peathall.http.request_queue import RequestClass, RequestQueue
-from peathall.jobs.service import RETRY_LATER, JobResponse
+from peathall.jobs.responses import RETRY_LATER, JobResponse, malformed
 from peathall.peers.messages import AcceptRequest, CancelRequest, QueryRequest
 from peathall.protocol import codec
 from peathall.protocol.errors import encode_error
@@ -69,10 +69,10 @@
         status is the answer, whatever is wrong with the repetition."""
         if isinstance(job_id, str) and JOB_ID.match(job_id):
             known = await self._router.route(QueryRequest(job_id))
-            if known[0] != HTTPStatus.NOT_FOUND:
+            if known.status != HTTPStatus.NOT_FOUND:
                 return known
         log.info("submission rejected as malformed: %s", problem)
-        return HTTPStatus.BAD_REQUEST, encode_error(problem)
+        return malformed(problem)
 
     async def serve_job(self, request: QueryRequest | CancelRequest) -> Response:
         """Status or cancellation of a job."""
--- a/peathall/leader/features.py
+++ b/peathall/leader/features.py
@@ -11,7 +11,7 @@
 
 from peathall.autoscaling.actions import CloudActions
 from peathall.cluster.job import Job
-from peathall.jobs.service import JobResponse
+from peathall.jobs.responses import JobResponse
 from peathall.placement.views import Plan
 from peathall.store.client import StoreClient
 from peathall.store.writer import DeferredWriter
--- a/peathall/leader/requests.py
+++ b/peathall/leader/requests.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from peathall import constants
-from peathall.jobs.service import RETRY_LATER, JobResponse
+from peathall.jobs.responses import RETRY_LATER, JobResponse
 from peathall.leader.phase import LeaderPhase, TermState
 from peathall.leader.wiring import LeaderSlices
 from peathall.protocol.heartbeats import Heartbeat
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -10,7 +10,8 @@
 from peathall import constants
 from peathall.autoscaling.autoscaler import Autoscaler
 from peathall.cluster.state import ClusterState
-from peathall.jobs.service import JobResponse, Jobs
+from peathall.jobs.responses import JobResponse
+from peathall.jobs.service import Jobs
 from peathall.leader.context import ControllerContext
 from peathall.leader.features import LeaderDuties
 from peathall.leader.phase import LeaderPhase, TermState
