--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -26,7 +26,6 @@
     HandoffOffer,
     Ruling,
     Verdict,
-    to_value,
 )
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
@@ -35,6 +34,7 @@
 from peathall.jobs.admission import rejection_reason
 from peathall.jobs.background import BackgroundTasks
 from peathall.leadership.lease import LeaderLease
+from peathall.protocol.codec import struct_to_builtins
 from peathall.protocol.jobs import JobSpec, spec_from_record, spec_to_record
 from peathall.store.client import ConflictError, Delete, KeyValue, Put, StoreError
 from peathall.store.writer import Writer
@@ -119,7 +119,7 @@
     async def _store(self, borrowed: BorrowedJob, phase: BorrowPhase) -> bool:
         """Store the next phase; only then is it entered and named in heartbeats."""
         record = BorrowedRecord(borrowed.epoch, borrowed.home, phase, spec_to_record(borrowed.spec))
-        return await self._commit(borrowed, Put(borrowed.key, to_value(record)), phase)
+        return await self._commit(borrowed, Put(borrowed.key, struct_to_builtins(record)), phase)
 
     async def _commit(self, borrowed: BorrowedJob, op: Put | Delete, phase: BorrowPhase) -> bool:
         conditions: dict[str, int] = {}
--- a/peathall/cells/client.py
+++ b/peathall/cells/client.py
@@ -19,10 +19,10 @@
     HandoffOfferResponse,
     UserRequest,
     UserResponse,
-    to_value,
 )
 from peathall.cells.settings import Neighbour
 from peathall.http.client import HttpClient, NoAnswerError
+from peathall.protocol.codec import struct_to_builtins
 
 OFFER_PATH = "/cells/offer"
 HEARTBEAT_PATH = "/cells/heartbeat"
@@ -81,7 +81,7 @@
         self, path: str, message: msgspec.Struct, kind: type[ResponseType], timeout: float
     ) -> ResponseType:
         """Ask controller after controller, within the time, until the leader responds."""
-        raw = orjson.dumps(to_value(message))
+        raw = orjson.dumps(struct_to_builtins(message))
         until = self.clock() + timeout
         reason = "it has no leader"
         for _ in self.clients:
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -27,12 +27,12 @@
     HandoffRecord,
     Ruling,
     Verdict,
-    to_value,
 )
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
 from peathall.jobs.background import BackgroundTasks
 from peathall.leadership.lease import first_attempt
+from peathall.protocol.codec import struct_to_builtins
 from peathall.protocol.jobs import spec_to_record
 from peathall.store.client import ConflictError, Delete, KeyValue, Put, StoreError
 from peathall.store.writer import Writer
@@ -146,7 +146,7 @@
 
     async def _store(self, handoff: Handoff, record: HandoffRecord) -> bool:
         try:
-            await self.writer.submit([Put(handoff.key, to_value(record))])
+            await self.writer.submit([Put(handoff.key, struct_to_builtins(record))])
         except (StoreError, ConflictError) as exc:
             log.error("job %s: handoff is not stored: %s", handoff.job.spec.id, exc)
             return False
--- a/peathall/cells/model.py
+++ b/peathall/cells/model.py
@@ -17,11 +17,11 @@
 from enum import Enum
 from typing import Annotated, Any
 
-import msgspec
 from msgspec import Meta, Struct, field
 
+from peathall.jobs.records import BORROWED as BORROWED
+
 HANDOFF = "handoff/"
-BORROWED = "borrowed/"
 
 Count = Annotated[int, Meta(ge=0)]
 Seconds = Annotated[float, Meta(gt=0)]
@@ -161,8 +161,3 @@
 
     status: int
     value: dict[str, Any] | None = None
-
-
-def to_value(record: Struct) -> Any:
-    """The form in which a record is stored, or a message is encoded."""
-    return msgspec.to_builtins(record)
--- a/peathall/cells/requests.py
+++ b/peathall/cells/requests.py
@@ -22,11 +22,11 @@
     HandoffOfferResponse,
     UserRequest,
     UserResponse,
-    to_value,
 )
 from peathall.cells.settings import CellSettings
 from peathall.config.modes import Mode
 from peathall.jobs.service import Jobs
+from peathall.protocol.codec import struct_to_builtins
 
 Message = HandoffOffer | CellHeartbeat | UserRequest
 
@@ -92,7 +92,7 @@
             return CellResponse(HTTPStatus.BAD_REQUEST, {"error": str(exc)})
         if not self.is_leader():
             return NOT_LEADING
-        return CellResponse(HTTPStatus.OK, to_value(response))
+        return CellResponse(HTTPStatus.OK, struct_to_builtins(response))
 
     async def _offer(self, offer: HandoffOffer) -> HandoffOfferResponse:
         if self.settings.mode is not Mode.ON:
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -16,7 +16,7 @@
 from peathall.cells.errors import CellError
 from peathall.cells.heartbeats import CapacitySummary, HeartbeatSender
 from peathall.cells.home import HomeHandoffs
-from peathall.cells.model import BORROWED, HANDOFF, UserRequest, to_value
+from peathall.cells.model import BORROWED, HANDOFF, UserRequest
 from peathall.cells.requests import CellRequestHandler, CellResponse
 from peathall.cells.settings import CellSettings
 from peathall.cells.spilling import MachineCapacity, Spiller
@@ -28,6 +28,7 @@
 from peathall.jobs.service import Jobs
 from peathall.leadership.election import TERM_KEY, TermRecord
 from peathall.placement.views import Plan
+from peathall.protocol.codec import struct_to_builtins
 from peathall.store.client import KeyValue, Put, StoreClient
 from peathall.store.writer import Writer
 
@@ -143,7 +144,7 @@
         """Once no handoff is left, the feature is off: record that beside the term."""
         while self.home.handoffs or self.borrower.borrowed or not self.is_leader():
             await asyncio.sleep(constants.TICK_S)
-        await self.writer.submit([Put(TERM_KEY, to_value(TermRecord(self.cluster.term)))])
+        await self.writer.submit([Put(TERM_KEY, struct_to_builtins(TermRecord(self.cluster.term)))])
         log.info("cells are off: restart all controllers without the section")
         await asyncio.Event().wait()
 
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -26,9 +26,9 @@
     Handover,
     HolderRecord,
     TokenRecord,
-    to_value,
 )
 from peathall.leadership.lease import LeaderLease
+from peathall.protocol.codec import struct_to_builtins
 from peathall.store.client import ConflictError, LeaseExpiredError, Put, StoreClient, StoreError
 from peathall.store.writer import GuardKey
 
@@ -162,9 +162,9 @@
             self.duty.token_key: item.version if item is not None else 0,
             ENABLED_KEY: self.board.enabled_version,
         }
-        value = to_value(holder)
+        value = struct_to_builtins(holder)
         puts = [Put(self.duty.holder_key, value, lease_id)]
-        puts.append(Put(self.duty.token_key, to_value(token_record)))
+        puts.append(Put(self.duty.token_key, struct_to_builtins(token_record)))
         try:
             version = await self.store.commit(conditions, [*puts])
         except (ConflictError, LeaseExpiredError):
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -25,9 +25,9 @@
     ActionResult,
     Duty,
     Outcome,
-    to_value,
 )
 from peathall.leadership.election import LEADER_KEY
+from peathall.protocol.codec import struct_to_builtins
 from peathall.store.client import (
     ConflictError,
     Delete,
@@ -182,7 +182,7 @@
         intent = ActionIntent(token, request.term, request.provision, request.deletion)
         conditions = {key: 0, LEADER_KEY: request.leader_version}
         try:
-            await self.writer.submit([Put(key, to_value(intent))], conditions)
+            await self.writer.submit([Put(key, struct_to_builtins(intent))], conditions)
         except ConflictError as exc:
             why = "its leader is replaced" if LEADER_KEY in exc.failed else "its name is in use"
             return ActionResult(Outcome.REFUSED, why=why)
--- a/peathall/duties/holders.py
+++ b/peathall/duties/holders.py
@@ -16,9 +16,9 @@
     Duty,
     HolderRecord,
     Outcome,
-    to_value,
 )
 from peathall.http.client import NoAnswerError
+from peathall.protocol.codec import struct_to_builtins
 
 # Sends a message (name of a controller, path, body, timeout in s) to another controller; gives
 # status and body of its answer, or raises NoAnswerError.
@@ -73,7 +73,7 @@
         if holder.member == self._name:
             return await self._perform(request)
         try:
-            message = orjson.dumps(to_value(request))
+            message = orjson.dumps(struct_to_builtins(request))
             status, raw = await self._send(holder.member, "/duty", message, constants.DUTY_ASK_S)
             if status == 200:
                 return msgspec.convert(orjson.loads(raw), ActionResult)
--- a/peathall/duties/model.py
+++ b/peathall/duties/model.py
@@ -164,8 +164,3 @@
     why: str = ""  # for operators, unless the outcome is DONE
     revision: int = 0  # of a transaction
     failed: list[str] = []  # keys that did not have the version of their condition
-
-
-def to_value(record: Struct) -> Any:
-    """The value as which a record is stored, or sent to another controller."""
-    return msgspec.to_builtins(record)
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -29,7 +29,6 @@
     Duty,
     DutyPhase,
     Outcome,
-    to_value,
 )
 from peathall.duties.retirement import Retirement
 from peathall.duties.settings import DutySettings
@@ -37,6 +36,7 @@
 from peathall.duties.writes import DelegatedWrites
 from peathall.http.client import NoAnswerError
 from peathall.leadership.election import LEADER_KEY, LeaderRecord
+from peathall.protocol.codec import struct_to_builtins
 from peathall.store.client import StoreClient
 from peathall.store.writer import Writer
 
@@ -156,14 +156,14 @@
         """Status and body for a request of another controller or an operator's client; raises
         StoreError if the status of duties cannot be read."""
         if path == "/duties":
-            return 200, to_value(await self.status())
+            return 200, struct_to_builtins(await self.status())
         if path == "/duties/waiting":
             return 200, self._waiting()
         try:
             request = msgspec.convert(orjson.loads(raw), ActionRequest)
         except (orjson.JSONDecodeError, msgspec.ValidationError):
             return 400, None
-        return 200, to_value(await self.perform(request))
+        return 200, struct_to_builtins(await self.perform(request))
 
     async def perform(self, request: ActionRequest) -> ActionResult:
         """Carry a request out, if we hold its duty."""
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -11,7 +11,6 @@
 from collections.abc import Iterable
 
 from peathall import constants
-from peathall.cells.model import BORROWED
 from peathall.config.platform import Params
 from peathall.jobs import records, responses
 from peathall.jobs.admission import rejection_reason
@@ -71,7 +70,7 @@
 
     async def _create(self, spec: JobSpec) -> None:
         """Store the job; ConflictError if it is live, archived or borrowed."""
-        prefixes = [records.JOB, records.PAST, *([BORROWED] if self.cells else [])]
+        prefixes = [records.JOB, records.PAST, *([records.BORROWED] if self.cells else [])]
         await self.store.commit(
             {prefix + spec.id: 0 for prefix in prefixes},
             [Put(records.JOB + spec.id, spec_to_record(spec))],
@@ -91,7 +90,7 @@
             return responses.found(encode_job_status(job_id, JobStatus.QUEUED))
         archived = await self.store.get(records.PAST + job_id)
         if archived is None:
-            borrowed = self.cells and await self.store.get(BORROWED + job_id) is not None
+            borrowed = self.cells and await self.store.get(records.BORROWED + job_id) is not None
             return RETRY_LATER if borrowed else None  # only a leader can ask the job's home
         return self._cache_final(job_id, records.read_final(archived.value))
 
--- a/peathall/jobs/records.py
+++ b/peathall/jobs/records.py
@@ -31,6 +31,8 @@
 ENDS = "live/ends/"
 DONE = "done/"
 PAST = "past/"
+# Jobs of other cells, one record each; the cells package writes them.
+BORROWED = "borrowed/"
 
 RANGE_BYTES = 16  # bytes of one range with two five-digit numbers, as JSON, and some to spare
 
--- a/tests/sim/test_cells_command.py
+++ b/tests/sim/test_cells_command.py
@@ -11,12 +11,13 @@
 import pytest
 
 from peathall import cli
-from peathall.cells.model import CellHeartbeat, HandoffOffer, to_value
+from peathall.cells.model import CellHeartbeat, HandoffOffer
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.config.modes import Mode
 from peathall.http.client import HttpClient
 from peathall.http.message import Request, Response
 from peathall.operator_config.file import load_operator
+from peathall.protocol.codec import struct_to_builtins
 from tests.sim.cells_world import Cells, gang, play
 from tests.sim.net import Host
 from tests.sim.test_duties_command import check_refuses, controller
@@ -98,11 +99,11 @@
             return await cells.loop.create_task(work, context=context)
 
         beat = CellHeartbeat("cell-1", "cell-0", 10**9, 7, 0, 13.0)
-        heartbeat = orjson.dumps(to_value(beat) | {"a_field_of_later_versions": 1})
-        stranger = orjson.dumps(to_value(msgspec.structs.replace(beat, cell="cell-9")))
-        misdirected = orjson.dumps(to_value(msgspec.structs.replace(beat, to="cell-9")))
+        heartbeat = orjson.dumps(struct_to_builtins(beat) | {"a_field_of_later_versions": 1})
+        stranger = orjson.dumps(struct_to_builtins(msgspec.structs.replace(beat, cell="cell-9")))
+        misdirected = orjson.dumps(struct_to_builtins(msgspec.structs.replace(beat, to="cell-9")))
         offer = orjson.dumps(
-            to_value(HandoffOffer("cell-1", "cell-0", 1, 1, {"id": gang(1)["id"]}))
+            struct_to_builtins(HandoffOffer("cell-1", "cell-0", 1, 1, {"id": gang(1)["id"]}))
         )
         assert (await post(leader, "/cells/heartbeat", heartbeat))[0] == 200
         assert (await post(leader, "/cells/heartbeat", heartbeat))[0] == 409
--- a/tests/unit/test_leader.py
+++ b/tests/unit/test_leader.py
@@ -20,7 +20,7 @@
 from peathall.duties.service import Duties
 from peathall.duties.settings import DutySettings
 from peathall.duties.term import TermDuties
-from peathall.jobs.service import RETRY_LATER
+from peathall.jobs.responses import RETRY_LATER
 from peathall.leader.context import ControllerContext
 from peathall.leader.phase import LeaderPhase
 from peathall.leader.term import Leader
