--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -22,25 +22,21 @@
 from peathall import constants
 from peathall.config.platform import StateSettings
 from peathall.protocol.codec import json_size
-from peathall.store.client import (
+from peathall.protocol.state_service import Delete, Put, operation_to_wire
+from peathall.store.client import StoreClient
+from peathall.store.errors import (
     ConflictError,
-    Delete,
     InvalidTransactionError,
     LeaseExpiredError,
     OutcomeUnknownError,
-    Put,
     RateLimitError,
-    StoreClient,
     StoreError,
 )
+from peathall.store.errors import LeadershipLostError as LeadershipLostError
 
 log = logging.getLogger("peathall.store")
 
 
-class LeadershipLostError(Exception):
-    """`lead` is no longer ours; nothing was written."""
-
-
 class Mutation:
     """Puts and drops that are written together, and what happens afterwards."""
 
@@ -52,7 +48,7 @@
         self.done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
         # Whoever does not wait for the result must not cause a warning.
         self.done.add_done_callback(lambda f: f.cancelled() or f.exception())
-        self.size = sum(json_size(op.to_wire()) for op in ops)
+        self.size = sum(json_size(operation_to_wire(op)) for op in ops)
 
     def then(self, action: Callable[[], None]) -> Mutation:
         """`action` runs once the change is stored, and only then."""
@@ -411,7 +407,7 @@
         before = max(conditions.values())
         written = set()
         for op in ops:
-            item = await self.store.get(op.key, first=True)
+            item = await self.store.get(op.key, prioritized=True)
             if isinstance(op, Put):
                 if item is None or item.version <= before or item.value != op.value:
                     return 0
@@ -436,7 +432,7 @@
         guard = self.guard
         while self.phase is not WriterPhase.STOPPED:
             try:
-                item = await self.store.get(guard.key, first=True)
+                item = await self.store.get(guard.key, prioritized=True)
                 # A version that we don't know is our own doubtful try, or another's lead.
                 if item is None or item.value != guard.value:
                     return False
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -44,7 +44,9 @@
     def spare_writes(self) -> float:
         return self.spare
 
-    async def get(self, key: str, first: bool = False) -> KeyValue | None:
+    async def get(
+        self, key: str, prioritized: bool = False, first: bool = False
+    ) -> KeyValue | None:
         found = self.data.get(key)
         return KeyValue(key, found[0], found[1]) if found else None
 
@@ -328,8 +330,8 @@
         for size in (1, 2, 3, 5, 9):
             clients = [StoreClient("10.0.0.1:1", LIMITS, size) for _ in range(size)]
             clients[0].set_leading(True)
-            assert sum(x.requests.rate for x in clients) <= LIMITS.rps + 1e-9
-            assert sum(x.writes.rate for x in clients) <= LIMITS.write_rps + 1e-9
+            assert sum(x.rate_limits.requests.rate for x in clients) <= LIMITS.rps + 1e-9
+            assert sum(x.rate_limits.writes.rate for x in clients) <= LIMITS.write_rps + 1e-9
 
     asyncio.run(run())
 
@@ -340,7 +342,9 @@
     class Counting(FakeStore):
         reads = scans = 0
 
-        async def get(self, key: str, first: bool = False) -> KeyValue | None:
+        async def get(
+            self, key: str, prioritized: bool = False, first: bool = False
+        ) -> KeyValue | None:
             assert key.startswith("past/")
             return await super().get(key)
 
