--- a/peathall/duties/writes.py
+++ b/peathall/duties/writes.py
@@ -24,7 +24,8 @@
 )
 from peathall.leadership.election import LEADER_KEY
 from peathall.store.client import ConflictError, Delete, InvalidTransactionError, Put
-from peathall.store.writer import Batch, Mutation, Writer
+from peathall.store.mutation import Batch, Mutation, fail_mutations, partition_by_keys
+from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.duties")
 
@@ -88,12 +89,12 @@
         batch = Batch(self.writer.limits)
         self._again = [change for change in self._again if not batch.add(change)]
         for name in list(self._offered):
-            if self._again or batch.ops >= batch.most_ops:
+            if self._again or batch.is_full:
                 break
             change = self._offered.pop(name)()
             if change is not None and not batch.add(change):
                 self._again.append(change)
-        return batch.changes
+        return batch.mutations
 
     def _request(self, batch: list[Mutation]) -> ActRequest:
         self._number += 1
@@ -159,13 +160,13 @@
     async def _give_up_invalid(self, batch: list[Mutation], answer: ActAnswer) -> None:
         log.error("the state service does not take a commit of %s: %s", self.duty.value, answer.why)
         if len(batch) == 1:
-            self.writer.fail(batch, InvalidTransactionError(answer.why))
+            fail_mutations(batch, InvalidTransactionError(answer.why))
             return
         for change in batch:
             await self._hand_over([change])
 
     def _split(self, batch: list[Mutation], failed: list[str]) -> None:
         """A record is not what we thought: fail its change, write the others."""
-        bad, rest = self.writer.partition(batch, failed)
-        self.writer.fail(bad, ConflictError(failed))
+        bad, rest = partition_by_keys(batch, failed)
+        fail_mutations(bad, ConflictError(failed))
         self._again[:0] = rest
--- a/peathall/store/__init__.py
+++ b/peathall/store/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `store`: client of the state service, budgets, and the one writer."""
+"""Package `store`: client of the state service, its rate limits, and the writer."""
--- /dev/null
+++ b/peathall/store/committer.py
@@ -0,0 +1,196 @@
+"""Commits a transaction, and finds out its outcome when the response is lost.
+
+After an attempt without a response, a read tells whether it was carried out; if not, it is
+repeated unchanged. If the transaction has to be given up, since one of its conditions does not
+hold any more, the guard key is rewritten first: the attempt without a response may still be
+carried out minutes later, when its conditions may hold again, and no one would know of what it
+wrote.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from dataclasses import dataclass
+
+from peathall import constants
+from peathall.protocol.state_service import Delete, Put
+from peathall.store.client import StoreClient
+from peathall.store.errors import (
+    ConflictError,
+    InvalidTransactionError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RateLimitError,
+    StoreError,
+)
+from peathall.store.phase import WriterPhase, WriterState
+from peathall.store.transaction import GuardKey, Transaction
+
+log = logging.getLogger("peathall.store")
+
+
+@dataclass(slots=True)
+class Applied:
+    """The transaction was carried out, at this revision."""
+
+    revision: int
+    attempt_pending: bool = False  # an earlier attempt has no response, and may yet be carried out
+
+
+@dataclass(slots=True)
+class Rejected:
+    """The service will never carry out the transaction. No attempt is pending."""
+
+    error: InvalidTransactionError
+
+
+@dataclass(slots=True)
+class Conflicted:
+    """Conditions on these keys do not hold. No attempt is pending."""
+
+    keys: list[str]
+
+
+@dataclass(slots=True)
+class Abandoned:
+    """Leadership is lost, or the writer was stopped."""
+
+
+CommitResult = Applied | Rejected | Conflicted | Abandoned
+
+
+class TransactionCommitter:
+    """Repeats a transaction until its outcome is known, and fences off attempts without one."""
+
+    def __init__(self, store: StoreClient, guard: GuardKey, state: WriterState) -> None:
+        self.store = store
+        self.guard = guard
+        self.state = state
+
+    async def commit(self, transaction: Transaction) -> CommitResult:
+        """Repeat the transaction until its outcome is known, or leadership is lost."""
+        while not self.state.is_stopped:
+            try:
+                revision = await self._attempt(transaction)
+                return Applied(revision, transaction.outcome_unknown)
+            except OutcomeUnknownError as exc:
+                self._note_unknown_outcome(transaction, exc)
+            except InvalidTransactionError as exc:
+                log.error("commit of %d changes rejected: %s", len(transaction.ops), exc)
+                if transaction.outcome_unknown and not await self.fence():
+                    return Abandoned()
+                return Rejected(exc)
+            except (StoreError, LeaseExpiredError) as exc:
+                self._note_refusal(transaction, exc)
+            except ConflictError as exc:
+                return await self._resolve_conflict(transaction, exc)
+            await asyncio.sleep(constants.STORE_RETRY_S)
+        return Abandoned()
+
+    async def _attempt(self, transaction: Transaction) -> int:
+        """The revision of the commit: of this attempt, or of an earlier one without a response."""
+        ops, conditions = transaction.ops, transaction.conditions
+        if transaction.outcome_unknown:
+            revision = await self._find_applied(ops, conditions)
+            if revision:
+                return revision
+        try:
+            return await self.store.commit(conditions, ops)
+        except RateLimitError as exc:
+            transaction.rate_refusals += 1
+            if transaction.exceeds_rate:
+                raise InvalidTransactionError(
+                    f"more changes than its rate allows at all: {exc}"
+                ) from None
+            raise
+
+    def _note_unknown_outcome(self, transaction: Transaction, error: OutcomeUnknownError) -> None:
+        log.info(
+            "outcome of a commit of %d changes unknown, checking it: %s",
+            len(transaction.ops),
+            error,
+        )
+        transaction.outcome_unknown = True
+        self.state.enter(WriterPhase.OUTCOME_UNKNOWN)
+
+    @staticmethod
+    def _note_refusal(transaction: Transaction, error: Exception) -> None:
+        """Log it once for each transaction."""
+        if not transaction.refused:
+            log.info("commit of %d changes refused, repeating it: %s", len(transaction.ops), error)
+        transaction.refused = True
+
+    async def _resolve_conflict(
+        self, transaction: Transaction, error: ConflictError
+    ) -> CommitResult:
+        if self.guard.key in error.failed:
+            return Abandoned()
+        if transaction.outcome_unknown:
+            # An earlier attempt of this transaction may be what changed the records. Only now,
+            # with a later attempt refused for good, is the answer to this final.
+            revision = await self.resolve_outcome(transaction.ops, transaction.conditions)
+            if revision:
+                return Applied(revision)
+            if not await self.fence():
+                return Abandoned()
+        return Conflicted(error.failed)
+
+    async def _find_applied(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
+        """The revision at which an earlier attempt was carried out; 0 if none was.
+
+        All that a transaction writes has one revision, higher than those it depends on. Looking
+        at a single record is not enough: another controller may have created an equal one, which
+        does not tell whether the others were written. Nobody else deletes these records, but
+        others may have created anew what the transaction deleted.
+        """
+        newest_condition = max(conditions.values())
+        revisions = set()
+        for op in ops:
+            item = await self.store.get(op.key, prioritized=True)
+            if isinstance(op, Put):
+                if item is None or item.version <= newest_condition or item.value != op.value:
+                    return 0
+                revisions.add(item.version)
+            elif item is not None and item.version <= newest_condition:
+                return 0
+        if len(revisions) > 1:
+            return 0
+        return revisions.pop() if revisions else newest_condition + 1
+
+    async def resolve_outcome(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
+        """The revision at which a transaction with unknown outcome was carried out; 0 if it was
+        not, or the writer was stopped. Reads until the state service answers."""
+        while not self.state.is_stopped:
+            try:
+                return await self._find_applied(ops, conditions)
+            except StoreError:
+                await asyncio.sleep(constants.STORE_RETRY_S)
+        return 0
+
+    async def fence(self) -> bool:
+        """Rewrite the guard key, so that no earlier attempt can be carried out any more.
+
+        False if leadership is lost or the writer was stopped.
+        """
+        guard = self.guard
+        while not self.state.is_stopped:
+            try:
+                item = await self.store.get(guard.key, prioritized=True)
+                # An unknown version with the same value is that of an earlier attempt to rewrite
+                # it, whose outcome was unknown; with another value, it is another controller's.
+                if item is None or item.value != guard.value:
+                    return False
+                rewritten = Put(guard.key, guard.value, guard.lease)
+                guard.version = await self.store.commit({guard.key: item.version}, [rewritten])
+                log.info(
+                    "rewrote %s: a commit with unknown outcome was given up, and must not be "
+                    "carried out late",
+                    guard.key,
+                )
+                return True
+            except LeaseExpiredError:
+                return False
+            except (StoreError, ConflictError):
+                await asyncio.sleep(constants.STORE_RETRY_S)
+        return False
--- a/peathall/store/shared_records.py
+++ b/peathall/store/shared_records.py
@@ -1,4 +1,4 @@
-"""Records that hold entries of several jobs, all written in one change."""
+"""Records that hold entries of several jobs, all written in one mutation."""
 
 from __future__ import annotations
 
@@ -6,92 +6,111 @@
 from typing import Any
 
 from peathall.protocol.codec import json_size
-from peathall.store.client import ConflictError, Put
-from peathall.store.writer import LeadershipLostError, Mutation, Writer, WriterPhase
+from peathall.protocol.state_service import Put
+from peathall.store.errors import ConflictError, LeadershipLostError
+from peathall.store.mutation import Mutation
+from peathall.store.writer import Writer, WriterPhase
+
+
+class SharedRecordEntry:
+    """A value that is stored in a record among others, under conditions of its own."""
+
+    __slots__ = ("conditions", "size", "stored", "value")
+
+    def __init__(self, value: Any, conditions: dict[str, int]) -> None:
+        self.value = value
+        self.conditions = conditions  # key -> version; 0: no such record
+        self.size = json_size(value)  # bytes
+        self.stored: asyncio.Future[str] = asyncio.get_running_loop().create_future()
+        # A caller that does not wait for the result must not cause asyncio's warning.
+        self.stored.add_done_callback(lambda done: done.cancelled() or done.exception())
 
 
 class SharedRecordWriter:
-    """Entries that share records: all that wait when a transaction is made up go into one.
+    """Stores entries in shared records: all that wait when a transaction is put together go into
+    one record, as far as they fit.
 
-    Each would else cost a change of its own, and a swarm of small jobs more of them than the
-    state service grants.
+    A record of its own for each entry would cost a change each, and many small jobs more changes
+    than the rate limit of the state service allows.
     """
 
     def __init__(self, writer: Writer, term: int, prefix: str, field: str) -> None:
         self.writer = writer
-        self.stem = f"{prefix}{term:08d}-"
-        self.field = field
-        self.limit = writer.value_limit
-        # Conditions of a transaction are limited too; a quarter is left for other changes.
-        self.checks = 3 * writer.limits.txn_ops
-        self.number = 0
-        self.waiting: list[Entry] = []
+        self.key_prefix = f"{prefix}{term:08d}-"
+        self.field = field  # of the record, with the list of entries
+        self.max_record_size = writer.value_limit  # bytes
+        # The conditions of a transaction are limited to four times its operations; the fourth
+        # part is left for the other mutations in it.
+        self.max_conditions = 3 * writer.limits.txn_ops
+        self._last_number = 0  # of the records written in this term
+        self._waiting: list[SharedRecordEntry] = []
 
     def add(self, value: Any, conditions: dict[str, int] | None = None) -> asyncio.Future[str]:
-        """The future gives the key of the record in which the entry was stored."""
-        entry = Entry(value, conditions or {})
+        """Store a value. The future gives the key of the record with it, or ConflictError or
+        LeadershipLostError."""
+        entry = SharedRecordEntry(value, conditions or {})
         if self.writer.phase is WriterPhase.STOPPED:
             entry.stored.set_exception(LeadershipLostError())
         else:
-            self.waiting.append(entry)
-            self.writer.defer_to_next(self.stem, self._make)
+            self._waiting.append(entry)
+            self._request_write()
         return entry.stored
 
-    def _make(self) -> Mutation | None:
-        taken: list[Entry] = []
-        size, conditions = json_size({self.field: []}), dict[str, int]()
-        for entry in self.waiting:
+    def close(self) -> None:
+        """Cancel the entries that still wait, at the end of the term."""
+        for entry in self._waiting:
+            entry.stored.cancel()
+        self._waiting.clear()
+
+    def _request_write(self) -> None:
+        self.writer.defer_to_next(self.key_prefix, self._make_record)
+
+    def _make_record(self) -> Mutation | None:
+        entries = self._take_entries()
+        if not entries:
+            return None
+        if self._waiting:
+            self._request_write()
+        self._last_number += 1
+        key = f"{self.key_prefix}{self._last_number:07d}"
+        conditions = {
+            key: version for entry in entries for key, version in entry.conditions.items()
+        }
+        record = {self.field: [entry.value for entry in entries]}
+        mutation = Mutation(conditions, [Put(key, record)])
+        mutation.done.add_done_callback(lambda done: self._settle(key, entries, done))
+        return mutation
+
+    def _take_entries(self) -> list[SharedRecordEntry]:
+        """The oldest entries that fit into one record and whose conditions fit into one
+        transaction; at least one if any waits."""
+        entries: list[SharedRecordEntry] = []
+        size, conditions = json_size({self.field: []}), set[str]()
+        for entry in self._waiting:
             size += entry.size + 1
-            if taken and (
-                size > self.limit or len(conditions) + len(entry.conditions) > self.checks
-            ):
+            condition_count = len(conditions) + len(entry.conditions)
+            if entries and (size > self.max_record_size or condition_count > self.max_conditions):
                 break
-            taken.append(entry)
-            conditions |= entry.conditions
-        if not taken:
-            return None
-        del self.waiting[: len(taken)]
-        if self.waiting:
-            self.writer.defer_to_next(self.stem, self._make)
-        self.number += 1
-        key = f"{self.stem}{self.number:07d}"
-        change = Mutation(conditions, [Put(key, {self.field: [entry.value for entry in taken]})])
-        change.done.add_done_callback(lambda done: self._settle(key, taken, done))
-        return change
-
-    def _settle(self, key: str, taken: list[Entry], done: asyncio.Future[int]) -> None:
+            entries.append(entry)
+            conditions |= entry.conditions.keys()
+        del self._waiting[: len(entries)]
+        return entries
+
+    def _settle(
+        self, key: str, entries: list[SharedRecordEntry], done: asyncio.Future[int]
+    ) -> None:
         error = done.exception() if not done.cancelled() else LeadershipLostError()
         failed = set(error.failed) if isinstance(error, ConflictError) else set()
-        again = []
-        for entry in taken:
+        repeated: list[SharedRecordEntry] = []
+        for entry in entries:
             if entry.stored.done():
                 continue
             if error is None:
                 entry.stored.set_result(key)
             elif failed and key not in failed and not failed & entry.conditions.keys():
-                again.append(entry)  # only its neighbours' conditions did not hold
+                repeated.append(entry)  # only conditions of other entries did not hold
             else:
                 entry.stored.set_exception(error)
-        if again:
-            self.waiting[:0] = again
-            self.writer.defer_to_next(self.stem, self._make)
-
-    def close(self) -> None:
-        """The term is over: what still waits is given up."""
-        for entry in self.waiting:
-            entry.stored.cancel()
-        self.waiting.clear()
-
-
-class Entry:
-    """What is to be stored among others, under conditions of its own."""
-
-    __slots__ = ("conditions", "size", "stored", "value")
-
-    def __init__(self, value: Any, conditions: dict[str, int]) -> None:
-        self.value = value
-        self.conditions = conditions
-        self.size = json_size(value)
-        self.stored: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        # Whoever does not wait for the result must not cause a warning.
-        self.stored.add_done_callback(lambda f: f.cancelled() or f.exception())
+        if repeated:
+            self._waiting[:0] = repeated
+            self._request_write()
