--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -37,7 +37,7 @@
     """The calls of the state service.
 
     All of them raise StoreError if the service did not carry them out, and its subclass
-    OutcomeUnknownError if that can't be told.
+    OutcomeUnknownError if that is not known.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self.rate_limits.set_leading(leading)
 
     def is_fresh(self) -> bool:
-        """Whether the service has responded lately: what its watch has told is up to date."""
+        """Whether the service has responded recently, so that what a watch reported is current."""
         return self.loop.time() - self.last_good < constants.STORE_FRESH_S and not self.failing
 
     def spare_writes(self) -> float:
@@ -175,7 +175,7 @@
     async def watch(self, prefix: str, after: int) -> tuple[int, list[WatchEvent]] | None:
         """Wait for changes after a revision, for a limited time.
 
-        Returns the revision up to which they are told, and the changes; None if the service no
+        Returns the revision up to which they are reported, and the changes; None if the service no
         longer knows all changes since `after`: then a scan is needed.
         """
         return await self._changes(prefix, after, constants.WATCH_HOLD_S, self.watch_http)
--- a/peathall/store/committer.py
+++ b/peathall/store/committer.py
@@ -128,7 +128,7 @@
             return Abandoned()
         if transaction.outcome_unknown:
             # An earlier attempt of this transaction may be what changed the records. Only now,
-            # with a later attempt refused for good, is the answer to this final.
+            # after a later attempt was refused, is the result of reading them final.
             revision = await self.resolve_outcome(transaction.ops, transaction.conditions)
             if revision:
                 return Applied(revision)
@@ -141,7 +141,7 @@
 
         All that a transaction writes has one revision, higher than those it depends on. Looking
         at a single record is not enough: another controller may have created an equal one, which
-        does not tell whether the others were written. Nobody else deletes these records, but
+        does not show whether the others were written. Nobody else deletes these records, but
         others may have created anew what the transaction deleted.
         """
         newest_condition = max(conditions.values())
@@ -160,7 +160,7 @@
 
     async def resolve_outcome(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
         """The revision at which a transaction with unknown outcome was carried out; 0 if it was
-        not, or the writer was stopped. Reads until the state service answers."""
+        not, or the writer was stopped. Reads until the state service responds."""
         while not self.state.is_stopped:
             try:
                 return await self._find_applied(ops, conditions)
--- a/peathall/store/deferred_writes.py
+++ b/peathall/store/deferred_writes.py
@@ -55,8 +55,8 @@
         """Add writes to the batch while it has space and fewer than `spare_ops` operations are
         added. Without any to spare, add the one bounded write that has waited for too long.
 
-        Returns a mutation that was made but does not fit: its maker has given it away, so it
-        must be written later.
+        Returns a mutation that was made but does not fit. It must be queued: its maker takes
+        it for written.
         """
         overdue = self._overdue(now) if spare_ops < 1 else None
         for name in list(self.makers) if overdue is None else [overdue]:
--- a/peathall/store/errors.py
+++ b/peathall/store/errors.py
@@ -7,7 +7,7 @@
     """Root of all errors of this package.
 
     Callers handle its kinds differently: a `StoreError` says that the service could not be used,
-    which passes; the others are answers of a working service, or the end of the leader's term.
+    which is temporary; the others are results from a working service, or the loss of leadership.
     """
 
 
--- a/peathall/store/single_flight.py
+++ b/peathall/store/single_flight.py
@@ -9,8 +9,8 @@
 class SingleFlightRead:
     """Runs at most one read at a time, however many callers ask for one.
 
-    Callers that ask while a read is under way share the next one. So what a caller then knows is
-    never older than its request.
+    Callers that ask while a read is in progress share the next one, so the data that a caller
+    gets is never older than its request.
     """
 
     def __init__(self, read: Callable[[], Awaitable[None]]) -> None:
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -222,7 +222,7 @@
                 self._abandon(batch)
 
     async def _commit_one_by_one(self, batch: list[Mutation], error: Exception) -> None:
-        """After a rejection: repeating the batch would hold up all others for ever. Whichever
+        """After a rejection: repeating the batch would block all later ones. Whichever
         mutation is the cause, the others are committed without it."""
         if len(batch) == 1:
             fail_mutations(batch, error)
