--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -148,7 +148,7 @@
     async def _claim(self) -> None:
         """Raise the token and write the holder's record in one commit, on a new lease."""
         self._enter(DutyPhase.CLAIMING)
-        item = await self.store.get(self.duty.token_key, first=True)
+        item = await self.store.get(self.duty.token_key, prioritized=True)
         before = msgspec.convert(item.value, TokenRecord) if item is not None else TokenRecord()
         vacant_s = self.loop.time() - self.board.vacant_since.get(self.duty, self.loop.time())
         sent = self.loop.time()
--- a/peathall/duties/gate.py
+++ b/peathall/duties/gate.py
@@ -29,7 +29,7 @@
         """Conditions and puts of a campaign's commit; raises StoreError."""
         if self.mode is Mode.OFF:
             return CampaignTerms({ENABLED_KEY: 0})
-        item = await self.store.get(ENABLED_KEY, first=True)
+        item = await self.store.get(ENABLED_KEY, prioritized=True)
         if item is not None:
             return CampaignTerms({ENABLED_KEY: item.version}, delegates=True)
         if self.mode is Mode.RETIRING:
--- a/peathall/duties/writes.py
+++ b/peathall/duties/writes.py
@@ -23,7 +23,8 @@
 )
 from peathall.leadership.election import LEADER_KEY
 from peathall.store.client import ConflictError, Delete, InvalidTransactionError, Put
-from peathall.store.writer import Batch, Mutation, Writer
+from peathall.store.mutation import Batch, Mutation, fail_mutations, partition_by_keys
+from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.duties")
 
@@ -84,12 +85,12 @@
         batch = Batch(self.writer.limits)
         self._again = [change for change in self._again if not batch.add(change)]
         for name in list(self._deferred):
-            if self._again or batch.ops >= batch.most_ops:
+            if self._again or batch.is_full:
                 break
             change = self._deferred.pop(name)()
             if change is not None and not batch.add(change):
                 self._again.append(change)
-        return batch.changes
+        return batch.mutations
 
     def _request(self, batch: list[Mutation]) -> ActionRequest:
         self._number += 1
@@ -158,13 +159,13 @@
     async def _fail_invalid(self, batch: list[Mutation], result: ActionResult) -> None:
         log.error("duty %s: the state service rejects a commit: %s", self.duty.value, result.why)
         if len(batch) == 1:
-            self.writer.fail(batch, InvalidTransactionError(result.why))
+            fail_mutations(batch, InvalidTransactionError(result.why))
             return
         for change in batch:
             await self._send([change])
 
     def _split(self, batch: list[Mutation], failed: list[str]) -> None:
         """Conditions did not hold: fail the mutations with them, send the others again."""
-        bad, rest = self.writer.partition(batch, failed)
-        self.writer.fail(bad, ConflictError(failed))
+        bad, rest = partition_by_keys(batch, failed)
+        fail_mutations(bad, ConflictError(failed))
         self._again[:0] = rest
--- a/peathall/leadership/campaign.py
+++ b/peathall/leadership/campaign.py
@@ -57,7 +57,7 @@
         skipped.
         """
         terms = await self.gate.terms()
-        term_key_value = await self.store.get(TERM_KEY, first=True)
+        term_key_value = await self.store.get(TERM_KEY, prioritized=True)
         previous = (
             msgspec.convert(term_key_value.value, TermRecord) if term_key_value else TermRecord()
         )
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -107,7 +107,7 @@
 
     async def _follow_or_campaign(self, first: bool) -> None:
         """Read the leader key; wait until it changes, or campaign if there is none."""
-        key_value = await self.store.get(LEADER_KEY, first=True)
+        key_value = await self.store.get(LEADER_KEY, prioritized=True)
         leader = msgspec.convert(key_value.value, LeaderRecord) if key_value is not None else None
         if leader is not None and leader.member == self.name:
             # This process does not lead. The record is from before a restart, or from a campaign
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -193,7 +193,7 @@
             floor.cluster, floor.faults, Writer(nothing, LIMITS, lead(), bool, bool)
         )
         floor.start(job, ["m-0", "m-1", "m-2"], 0.0)
-        (make,) = suspects.writer.spare.values()
+        (make,) = suspects.writer.deferred.makers.values()
         change = make()
         assert change is not None
         (put,) = change.ops
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -82,9 +82,7 @@
     """Wait until nothing is left to be written."""
     for _ in range(200):
         await asyncio.sleep(0)
-        if not (
-            jobs.writer.queue or jobs.writer.first or jobs.writer.spare or jobs.background.busy
-        ):
+        if not (jobs.writer.has_pending_writes or jobs.background.busy):
             break
 
 
