--- /dev/null
+++ b/peathall/placement/bin_packing.py
@@ -0,0 +1,47 @@
+"""Bin packing: how many tasks of a job fit into an amount of capacity, and on which machines."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Protocol
+
+from peathall.protocol.jobs import JobSpec
+
+EPS = 1e-6  # of a CPU, GPU or GB; sums of decimal numbers are not exact
+
+
+def fits_in(free: Sequence[float], spec: JobSpec) -> int:
+    """How many tasks of the job fit into so many CPUs, GPUs and GB."""
+    count = spec.tasks
+    if spec.cpus > 0:
+        count = min(count, int((free[0] + EPS) / spec.cpus))
+    if spec.gpus > 0:
+        count = min(count, int((free[1] + EPS) / spec.gpus))
+    if spec.ram > 0:
+        count = min(count, int((free[2] + EPS) / spec.ram))
+    return max(0, count)
+
+
+class MachineKind(Protocol):
+    """What a job may restrict: machine type, zone, and whether spot machines will do."""
+
+    @property
+    def type(self) -> str:
+        """Machine type."""
+
+    @property
+    def zone(self) -> str:
+        """Zone."""
+
+    @property
+    def spot(self) -> bool:
+        """Whether the cloud may take it back at any time."""
+
+
+def allowed(machine: MachineKind, spec: JobSpec) -> bool:
+    """Whether the job's restrictions admit such machines."""
+    return (
+        (spec.types is None or machine.type in spec.types)
+        and (spec.zone is None or machine.zone == spec.zone)
+        and (spec.spot or not machine.spot)
+    )
--- /dev/null
+++ b/peathall/placement/job_views.py
@@ -0,0 +1,186 @@
+"""Views of jobs: those of which a task may start or a replica is to move."""
+
+from __future__ import annotations
+
+from collections.abc import Collection
+
+from peathall import constants
+from peathall.cluster.job import Job, JobHealth, JobPhase
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.state import ClusterState
+from peathall.config.platform import Objective
+from peathall.placement.context import RoundContext
+from peathall.placement.ordering import gang_starving_bonus_s, latest_start
+from peathall.placement.reservations import Reservations
+from peathall.placement.views import JobView, MovingReplica
+from peathall.protocol.jobs import JobSpec
+from peathall.workers.faults import FaultTracker
+
+
+def is_starving(job: Job, now: float) -> bool:
+    """Whether none of its tasks has run for so long, up to this steady time, that it goes first."""
+    return now - job.idle_since > constants.STARVING_S - gang_starving_bonus_s(job.spec)
+
+
+def startable_tasks(job: Job, now: float) -> int:
+    """How many of its tasks may start at this steady time: of a failing job, one canary."""
+    if job.on_hold or now < job.backoff_until:
+        return 0
+    if job.health is not JobHealth.FAILING:
+        return len(job.pending)
+    if job.attempts or not job.pending:
+        return 0
+    return job.spec.tasks if job.spec.gang else 1
+
+
+class JobViews:
+    """Makes the views, and says what else of the jobs a round must take into account."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        objectives: list[Objective],
+        faults: FaultTracker,
+        reservations: Reservations,
+        context: RoundContext,
+    ) -> None:
+        self.cluster = cluster
+        self.objectives = objectives
+        self.faults = faults
+        self.reservations = reservations
+        self.context = context
+        self._gang_shapes: dict[str, JobSpec] = {}  # by class
+
+    def active(self) -> list[Job]:
+        """Jobs with work left."""
+        return [job for job in self.cluster.jobs.values() if job.phase is JobPhase.ACTIVE]
+
+    def views(self) -> list[JobView]:
+        """Jobs of which a task may start or a replica is to move."""
+        views = []
+        for job in self.active():
+            startable, moving = startable_tasks(job, self.context.now), self._moving(job)
+            if (startable or moving) and not self._zone_unknown(job):
+                views.append(self._view(job, startable, moving))
+        return views
+
+    @staticmethod
+    def other_cells_view(spec: JobSpec) -> JobView:
+        """Another cell's job for which capacity is to be reserved."""
+        return JobView(spec, spec.tasks, urgent=False, borrowed=True)
+
+    def gang_shapes(self) -> list[JobSpec]:
+        """The largest gang of each class among those submitted recently."""
+        gangs = [job.spec for job in self.cluster.jobs.values() if job.spec.gang]
+        recent = [
+            spec
+            for spec in [*self._gang_shapes.values(), *gangs]
+            if self.context.wall - spec.submitted < constants.SHAPE_MEMORY_S
+        ]
+        self._gang_shapes = {}
+        for spec in recent:
+            known = self._gang_shapes.get(spec.class_name)
+            if known is None or (spec.tasks, spec.submitted) >= (known.tasks, known.submitted):
+                self._gang_shapes[spec.class_name] = spec
+        return list(self._gang_shapes.values())
+
+    def reserved(self) -> list[tuple[JobSpec, int]]:
+        """For which jobs part of the teams' limits is reserved, and for how many tasks."""
+        return [*self._lost_replicas(), *self.reservations.for_other_cells()]
+
+    def _lost_replicas(self) -> list[tuple[JobSpec, int]]:
+        """Of each daemon that has run before, how many replicas are missing."""
+        return [
+            (job.spec, len(job.pending))
+            for job in self.active()
+            if job.spec.daemon
+            and job.pending
+            and (job.has_started or job.attempts)
+            and job.health is not JobHealth.FAILING
+        ]
+
+    def _zone_unknown(self, job: Job) -> bool:
+        """Whether its other tasks determine where the next may go, and one of them is on a machine
+        whose zone is not known: one known from records only, with no heartbeat and not listed by
+        the cloud yet."""
+        if not (job.spec.one_zone or job.spec.spread):
+            return False
+        return any(not self.cluster.machines[a.machine].zone for a in job.attempts.values())
+
+    def _moving(self, job: Job) -> list[MovingReplica]:
+        """Replicas on machines that are being drained: they would never end by themselves."""
+        if not job.spec.daemon:
+            return []
+        moving = []
+        for attempt in job.attempts.values():
+            machine = self.cluster.machines[attempt.machine]
+            if machine.phase is MachinePhase.DRAINING and not attempt.stopping:
+                moving.append(MovingReplica(attempt.task, machine.zone))
+        return moving
+
+    def _view(self, job: Job, startable: int, moving: list[MovingReplica]) -> JobView:
+        running_zones = self._running_zones(job)
+        avoid = frozenset(self.faults.machines_to_avoid(job))
+        if job.health is JobHealth.FAILING:
+            return JobView(
+                job.spec,
+                startable,
+                # A canary may wait until capacity is left over: it is short-lived if it fails.
+                latest_start=self.context.wall + constants.CANARY_DELAY_S,
+                running_zones=running_zones,
+                urgent=False,
+                is_canary=True,
+                avoid=avoid,
+                replica_machines=self._replica_machines(job),
+                moving=moving,
+            )
+        has_old_attempts = job.spec.gang and bool(job.attempts)
+        if job.borrowed:
+            return JobView(
+                job.spec,
+                startable,
+                latest_start=self.context.wall,
+                running_zones=running_zones,
+                has_old_attempts=has_old_attempts,
+                urgent=False,
+                borrowed=True,
+                avoid=avoid,
+                reservations=self.reservations.ready(job),
+            )
+        latest = latest_start(job.spec, self.objectives, self.context.wall, 0.0)
+        starving = not job.attempts and is_starving(job, self.context.now)
+        late = latest - self.context.wall < constants.URGENT_S
+        return JobView(
+            job.spec,
+            startable,
+            within_quota=job.spec.id in self.context.within_quota,
+            latest_start=latest,
+            running_zones=running_zones,
+            has_old_attempts=has_old_attempts,
+            urgent=starving or job.spec.daemon or late,
+            is_starving=starving,
+            fetch_s=self._fetch_s(job.spec),
+            avoid=avoid,
+            replica_machines=self._replica_machines(job),
+            moving=moving,
+            reservations=self.reservations.ready(job) if job.spec.daemon else {},
+        )
+
+    def _running_zones(self, job: Job) -> dict[str, int]:
+        """Zone -> tasks there, for a job whose rules depend on it."""
+        zones: dict[str, int] = {}
+        if job.spec.one_zone or job.spec.spread:
+            for attempt in job.attempts.values():
+                zone = self.cluster.machines[attempt.machine].zone
+                zones[zone] = zones.get(zone, 0) + 1
+        return zones
+
+    @staticmethod
+    def _replica_machines(job: Job) -> Collection[str]:
+        return {a.machine for a in job.attempts.values()} if job.spec.daemon else ()
+
+    def _fetch_s(self, spec: JobSpec) -> float:
+        """Time to fetch the job's image on the slowest type of machine that it may use."""
+        types = self.cluster.types.values()
+        rates = [t.fetch_gb_per_s for t in types if spec.types is None or t.name in spec.types]
+        return spec.image_gb / min(rates, default=1.0)
--- a/peathall/placement/pool.py
+++ b/peathall/placement/pool.py
@@ -1,25 +1,40 @@
-"""The machines of one round: who fits where, and which scarce room is spared for gangs. Pure."""
+"""The machines of one round: which of them fit a job, and what is left free for gangs. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 from zlib import crc32
 
-from peathall.placement.ordering import rank
-from peathall.placement.views import EPS, JobView, MachineGroup, MachineView, allowed, fits_in
+from peathall.placement.bin_packing import EPS, allowed, fits_in
+from peathall.placement.ordering import machine_sort_key
+from peathall.placement.views import JobView, MachineView
 from peathall.protocol.jobs import JobSpec
 
 
+class MachineGroup:
+    """Machines of one type and zone, all spot or none: a job may use all of them or none."""
+
+    __slots__ = ("machines", "spot", "type", "with_capacity", "zone")
+
+    def __init__(self, sample: MachineView) -> None:
+        self.type, self.zone, self.spot = sample.type, sample.zone, sample.spot
+        self.machines: list[MachineView] = []
+        self.with_capacity: list[MachineView] = []  # for the least that any pending task needs
+
+
 class MachinePool:
-    """Machines by group, and how their room shrinks as the round goes on."""
+    """Machines by group, and what is left of their capacity as the round goes on."""
 
     def __init__(
-        self, machines: list[MachineView], keep_ordinary: bool, shapes: Sequence[JobSpec]
+        self, machines: list[MachineView], prefer_spot: bool, gang_shapes: Sequence[JobSpec]
     ) -> None:
         self.machines = machines
         self.by_name = {machine.name: machine for machine in machines}
-        self.keep_ordinary = keep_ordinary  # some job may use no others
-        self.shapes = shapes  # the largest gang of each class lately: room is spared for it
+        self.prefer_spot = prefer_spot  # some job may not use spot machines: it needs the others
+        # The largest recent gang of each class: capacity for the next like it is left free.
+        self.gang_shapes = gang_shapes
+        # For each of these, how many machines fit one more of its tasks.
+        self._fitting_machines: list[int] = []
         self.groups: dict[tuple[str, str, bool], MachineGroup] = {}
         for machine in machines:
             key = (machine.type, machine.zone, machine.spot)
@@ -27,62 +42,64 @@
                 self.groups[key] = MachineGroup(machine)
             self.groups[key].machines.append(machine)
         self.zone_names = list(dict.fromkeys(m.zone for m in machines))
-        self.floor = (0.0, 0.0, 0.0)
-        self.roomy: list[int] = []  # see _count_roomy
+        self._least_need = (0.0, 0.0, 0.0)  # of each kind, over all pending tasks
 
     def totals(self) -> tuple[float, float]:
         """CPUs and GPUs of all machines."""
         return (sum(m.cpus for m in self.machines), sum(m.gpus for m in self.machines))
 
-    def prepare(self, waiting: list[JobView]) -> None:
-        """Called once, with all jobs of the round."""
-        if any(not job.spec.gang and not job.urgent for job in waiting):
-            self._count_roomy()
+    def prepare(self, pending: list[JobView]) -> None:
+        """Called before any job is placed, with all of those that will be."""
+        if any(not job.spec.gang and not job.urgent for job in pending):
+            self._fitting_machines = self._count_fitting_machines()
         else:
-            self.shapes = ()  # nobody will spare anything
-        specs = [job.spec for job in waiting]
-        # A machine without room for the least that any job needs is not looked at again.
-        self.floor = (
+            self.gang_shapes = ()  # no job of this round has to leave capacity for gangs
+        specs = [job.spec for job in pending]
+        # A machine without capacity for the least that any job needs is not considered again.
+        self._least_need = (
             min(s.cpus for s in specs) - EPS,
             min(s.gpus for s in specs) - EPS,
             min(s.ram for s in specs) - EPS,
         )
         for group in self.groups.values():
-            group.open = group.machines
-            self._narrow(group)
+            group.with_capacity = group.machines
+            self._remove_full(group)
 
-    def _count_roomy(self) -> None:
-        """How many machines have room for one more task of each of `shapes`."""
-        self.roomy = [
+    def _count_fitting_machines(self) -> list[int]:
+        return [
             sum(m.fits(shape) > 0 for g in self.groups.values() if allowed(g, shape)
                 for m in g.machines)
-            for shape in self.shapes
+            for shape in self.gang_shapes
         ]  # fmt: skip
 
-    def _narrow(self, group: MachineGroup) -> None:
-        cpus, gpus, ram = self.floor
-        group.open = [
-            m for m in group.open if m.free[0] >= cpus and m.free[1] >= gpus and m.free[2] >= ram
+    def _remove_full(self, group: MachineGroup) -> None:
+        cpus, gpus, ram = self._least_need
+        group.with_capacity = [
+            m
+            for m in group.with_capacity
+            if m.free[0] >= cpus and m.free[1] >= gpus and m.free[2] >= ram
         ]
 
     def take(self, machine: MachineView, spec: JobSpec, count: int) -> None:
-        """Tasks of the job get their room on the machine."""
-        before = [machine.fits(shape) > 0 for shape in self.shapes]
+        """Allocate capacity on the machine for tasks of the job."""
+        before = [machine.fits(shape) > 0 for shape in self.gang_shapes]
         machine.take(spec, count)
-        for i, shape in enumerate(self.shapes):
+        for i, shape in enumerate(self.gang_shapes):
             if before[i] and not machine.fits(shape) and allowed(machine, shape):
-                self.roomy[i] -= 1
+                self._fitting_machines[i] -= 1
 
     @staticmethod
-    def may_fill(machine: MachineView, spec: JobSpec) -> bool:
-        """On a machine that is kept for a gang, only what ends before that can start."""
-        return machine.kept_for is None or (not spec.gang and spec.expected_s < machine.kept_for)
+    def may_start_on(machine: MachineView, spec: JobSpec) -> bool:
+        """On a machine that is held for a gang, only what should end before the gang can start."""
+        return machine.gang_wait_s is None or (
+            not spec.gang and spec.expected_s < machine.gang_wait_s
+        )
 
     def _allowed_groups(self, spec: JobSpec) -> list[MachineGroup]:
         return [group for group in self.groups.values() if allowed(group, spec)]
 
     def usable(self, job: JobView, zone: str | None = None) -> list[MachineView]:
-        """The machines that the job allows, in one zone or in all."""
+        """The machines that the job may use, in one zone or in all, whether free or not."""
         return [
             m
             for group in self._allowed_groups(job.spec)
@@ -92,41 +109,45 @@
         ]
 
     def candidates(self, job: JobView) -> list[MachineView]:
-        """The machines with room for a task of the job, best first."""
+        """The machines with free capacity for a task of the job, best first."""
         spec = job.spec
         cpus, gpus, ram = spec.cpus - EPS, spec.gpus - EPS, spec.ram - EPS
         found = []
         for group in self._allowed_groups(spec):
-            self._narrow(group)
-            for m in group.open:
+            self._remove_full(group)
+            for m in group.with_capacity:
                 free = m.free
                 if (
                     free[0] >= cpus
                     and free[1] >= gpus
                     and free[2] >= ram
-                    and self.may_fill(m, spec)
+                    and self.may_start_on(m, spec)
                     and m.name not in job.avoid
                 ):
                     found.append(m)
-        seed = crc32(f"{spec.id} ".encode())
-        found.sort(key=lambda m: rank(m, spec, self.keep_ordinary, seed))
+        hash_seed = crc32(f"{spec.id} ".encode())
+        found.sort(key=lambda m: machine_sort_key(m, spec, self.prefer_spot, hash_seed))
         return found
 
-    def sparing(self, machine: MachineView, spec: JobSpec, count: int) -> int:
-        """As many tasks as leave room for the next gang of each class, somewhere: for all of
-        a gang that could not stop these tasks, for one task of any other."""
-        for i, shape in enumerate(self.shapes):
-            spared = shape.tasks if shape.priority >= spec.priority else 1
-            # Only the last machines with room for such a task have to spare it.
-            if self.roomy[i] > spared or not allowed(machine, shape) or not machine.fits(shape):
+    def limit_for_gangs(self, machine: MachineView, spec: JobSpec, count: int) -> int:
+        """At most `count` tasks, so many that the next gang of each class still finds capacity on
+        some machines: for all of its tasks if it could not preempt these, else for one."""
+        for i, shape in enumerate(self.gang_shapes):
+            machines_needed = shape.tasks if shape.priority >= spec.priority else 1
+            # As long as more machines than that fit such a task, any one may be filled.
+            if (
+                self._fitting_machines[i] > machines_needed
+                or not allowed(machine, shape)
+                or not machine.fits(shape)
+            ):
                 continue
-            spare = [
+            rest = [
                 a - b
                 for a, b in zip(machine.free, (shape.cpus, shape.gpus, shape.ram), strict=True)
             ]
-            count = min(count, fits_in(spare, spec))
+            count = min(count, fits_in(rest, spec))
         return count
 
     def zones(self, spec: JobSpec) -> list[str | None]:
-        """The choices of a zone: each by itself for a job that is bound to one."""
+        """The zones to try one by one for a job that must stay in one; else None for all."""
         return list(self.zone_names) if spec.one_zone else [None]
--- /dev/null
+++ b/peathall/placement/quota_preemption.py
@@ -0,0 +1,73 @@
+"""Choosing a team's own work of lower priority to preempt when its limit is used up. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+from math import ceil
+
+from peathall.placement.bin_packing import EPS
+from peathall.placement.planned_stops import PlannedStops
+from peathall.placement.pool import MachinePool
+from peathall.placement.quotas import TeamQuotas
+from peathall.placement.views import TeamWork, Victim
+from peathall.protocol.jobs import JobSpec
+
+# (team, priority) -> what of the team has a lower priority.
+TeamWorkLookup = Callable[[str, int], TeamWork]
+
+
+class QuotaVictims:
+    """Finds what to preempt so that tasks fit under their team's limit."""
+
+    def __init__(
+        self,
+        pool: MachinePool,
+        quotas: TeamQuotas,
+        stops: PlannedStops,
+        team_work: TeamWorkLookup,
+    ) -> None:
+        self._pool = pool
+        self._quotas = quotas
+        self._stops = stops
+        self._team_work = team_work
+
+    def choose(self, spec: JobSpec, wanted: int) -> tuple[int, list[Victim]]:
+        """How many of the tasks fit under the limit once the victims are gone, and the victims:
+        those of the lowest priority, and no more than are needed. A gang fits whole or not at
+        all."""
+        work = self._team_work(spec.team, spec.priority)
+        being_freed = self._stops.freed_by(spec.team)
+        freed = [a + b for a, b in zip(work.being_freed, being_freed, strict=True)]
+        units = [
+            unit
+            for unit in work.preemptible
+            if all(v.key not in self._stops.keys and v.machine in self._pool.by_name for v in unit)
+        ]
+        units.sort(
+            key=lambda unit: (-unit[0].priority, sum(v.lost_machine_s for v in unit), unit[0].key)
+        )
+        chosen: list[Sequence[Victim]] = []
+        count = self._fits_after(spec, wanted, freed)
+        for unit in units:
+            if count >= wanted:
+                break
+            freed = [freed[0] + sum(v.cpus for v in unit), freed[1] + sum(v.gpus for v in unit)]
+            chosen.append(unit)
+            count = self._fits_after(spec, wanted, freed)
+        if spec.gang and count < wanted:
+            return 0, []
+        for unit in chosen[::-1]:  # leave out what proves unnecessary, the most costly first
+            without = [freed[0] - sum(v.cpus for v in unit), freed[1] - sum(v.gpus for v in unit)]
+            if self._fits_after(spec, wanted, without) >= count:
+                freed = without
+                chosen.remove(unit)
+        return count, [victim for unit in chosen for victim in unit]
+
+    def _fits_after(self, spec: JobSpec, wanted: int, freed: Sequence[float]) -> int:
+        """How many of the tasks fit under the limit once so many CPUs and GPUs are freed."""
+        cpus, gpus = self._quotas.lacking(spec, wanted)
+        missing = 0
+        for lacking, back, need in ((cpus, freed[0], spec.cpus), (gpus, freed[1], spec.gpus)):
+            if lacking > back + EPS:
+                missing = max(missing, ceil((lacking - back - EPS) / need))
+        return max(0, wanted - missing)
--- a/peathall/placement/reservations.py
+++ b/peathall/placement/reservations.py
@@ -1,5 +1,5 @@
-"""Room kept for replicas that are being moved, from the stop of the old one to its next start, and
-for other cells' jobs, from their offer to their start."""
+"""Reservations: capacity kept for replicas that are being moved, until they start anew, and for
+other cells' jobs, from our consent until they start."""
 
 from __future__ import annotations
 
@@ -7,63 +7,92 @@
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-from peathall.cluster.job import Job
+from peathall.cluster.job import Job, JobPhase
+from peathall.cluster.machine import Machine
+from peathall.cluster.state import ClusterState
 from peathall.protocol.jobs import JobSpec
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Room for one task on a machine: a replica whose old attempt is not known to be gone, or a
-    task of another cell's job that is not ours to run yet."""
+    """Capacity for one task on a machine: for a replica whose old attempt may still exist, or for
+    a task of another cell's job that has not been handed off to us yet."""
 
     spec: JobSpec
     task: int
     machine: str
-    until: float  # steady time at which it is given up
-    reserved: bool = False  # for another cell's job
+    until: float  # steady time at which it expires
+    for_other_cell: bool = False
 
 
 class Reservations:
-    """All bookings of a leader. They are not stored: a new leader places the replica anew."""
+    """All reservations of a leader. They are not stored: after a failover the replica is placed
+    anew."""
 
     def __init__(self) -> None:
-        self._bookings: list[Reservation] = []
+        self._reservations: list[Reservation] = []
 
     def __iter__(self) -> Iterator[Reservation]:
-        return iter(self._bookings)
+        return iter(self._reservations)
 
     def add(self, reservation: Reservation) -> None:
-        """Keep the room from now on."""
-        self._bookings.append(reservation)
+        """Keep the capacity from now on."""
+        self._reservations.append(reservation)
 
-    def prune(self, keep: Callable[[Reservation], bool]) -> None:
-        """Give up those that are used or of no use any more."""
-        if self._bookings:
-            self._bookings = [reservation for reservation in self._bookings if keep(reservation)]
+    def release(self, job_id: str) -> None:
+        """Remove all reservations for the job."""
+        self._reservations = [r for r in self._reservations if r.spec.id != job_id]
 
-    def reserved(self) -> list[tuple[JobSpec, int]]:
-        """Of each job of another cell, for how many tasks room is kept."""
+    def prune(
+        self, cluster: ClusterState, is_schedulable: Callable[[Machine, float], bool], now: float
+    ) -> None:
+        """Remove those that are used, expired or of no use any more at this steady time."""
+        if self._reservations:
+            self._reservations = [
+                r for r in self._reservations if _is_needed(r, cluster, is_schedulable, now)
+            ]
+
+    def for_other_cells(self) -> list[tuple[JobSpec, int]]:
+        """Of each job of another cell, for how many tasks capacity is reserved."""
         counts: Counter[str] = Counter()
         specs: dict[str, JobSpec] = {}
-        for reservation in self._bookings:
-            if reservation.reserved:
+        for reservation in self._reservations:
+            if reservation.for_other_cell:
                 counts[reservation.spec.id] += 1
                 specs[reservation.spec.id] = reservation.spec
         return [(specs[job_id], count) for job_id, count in counts.items()]
 
     def ready(self, job: Job) -> Counter[str]:
-        """Machine -> bookings for tasks of the job whose old attempts are gone."""
+        """Machine -> reservations for tasks of the job whose old attempts are gone."""
         return Counter(
             reservation.machine
-            for reservation in self._bookings
+            for reservation in self._reservations
             if reservation.spec.id == job.spec.id and reservation.task in job.pending
         )
 
-    def room(self) -> dict[str, list[float]]:
-        """Machine -> CPUs, GPUs and memory that are booked there."""
-        room: dict[str, list[float]] = {}
-        for reservation in self._bookings:
-            spec, reserved = reservation.spec, room.setdefault(reservation.machine, [0.0, 0.0, 0.0])
+    def capacity(self) -> dict[str, list[float]]:
+        """Machine -> CPUs, GPUs and GB of memory that are reserved there."""
+        capacity: dict[str, list[float]] = {}
+        for reservation in self._reservations:
+            spec = reservation.spec
+            reserved = capacity.setdefault(reservation.machine, [0.0, 0.0, 0.0])
             for kind, need in enumerate((spec.cpus, spec.gpus, spec.ram)):
                 reserved[kind] += need
-        return room
+        return capacity
+
+
+def _is_needed(
+    reservation: Reservation,
+    cluster: ClusterState,
+    is_schedulable: Callable[[Machine, float], bool],
+    now: float,
+) -> bool:
+    job = cluster.jobs.get(reservation.spec.id)
+    machine = cluster.machines.get(reservation.machine)
+    if machine is None or now >= reservation.until or not is_schedulable(machine, now):
+        return False
+    if job is None:
+        return reservation.for_other_cell  # the job has not been handed off to us yet
+    attempt = job.attempts.get(reservation.task)
+    has_started = attempt is not None and not attempt.is_leaving
+    return job.phase is JobPhase.ACTIVE and not has_started
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -1,9 +1,9 @@
-"""Records of rounds: the intent that is stored before any start goes out.
+"""Records of rounds: the intent that is stored before any start command is sent.
 
     round/TERM-N   {"a": [[job, attempt number, machine, task ranges], ...]}
 
 A record stays until none of its attempts can exist any more. One that outlives most of what it
-names is written anew with the rest, so that what is stored is bounded by what runs.
+names is compacted to the rest, so that what is stored is bounded by what runs.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.ranges import Ranges
 from peathall.cluster.state import ClusterState
-from peathall.placement.views import Assignment
+from peathall.placement.plan import Assignment
 from peathall.protocol.codec import json_size
 from peathall.store.client import KeyValue, Put
 from peathall.store.writer import DeferredWriter, Mutation, Writer
@@ -51,43 +51,45 @@
 
 
 def split_entries(entries: list[RoundEntry], limit: int) -> list[list[RoundEntry]]:
-    """Cut a round's entries into pieces that fit into one value each, between two jobs where one
-    job's entries fit into a value: the intent of a gang is one step."""
+    """Split a round's entries into parts of at most `limit` bytes, between two jobs where one job's
+    entries fit into a part: the intent of a gang is then stored atomically."""
     parts: list[list[RoundEntry]] = [[]]
     size = json_size(to_record([]))
     empty = size
     for _, group in groupby(entries, key=lambda entry: entry.job):
-        job = list(group)
-        sizes = [json_size(msgspec.to_builtins(entry)) + 1 for entry in job]
+        job_entries = list(group)
+        # Each with the comma that separates it from the next.
+        sizes = [json_size(msgspec.to_builtins(entry)) + 1 for entry in job_entries]
         whole = sum(sizes)
         if parts[-1] and size + whole > limit and empty + whole <= limit:
             parts.append([])
             size = empty
-        for entry, need in zip(job, sizes, strict=True):
-            if parts[-1] and size + need > limit:
+        for entry, entry_size in zip(job_entries, sizes, strict=True):
+            if parts[-1] and size + entry_size > limit:
                 parts.append([])
                 size = empty
             parts[-1].append(entry)
-            size += need
+            size += entry_size
     return [part for part in parts if part]
 
 
 @dataclass(slots=True)
 class RecordPart:
-    """One record of a round: the attempts that it names, and when it is stored."""
+    """One record of a round, which may take several."""
 
     key: str
-    attempts: list[Attempt]
-    stored: asyncio.Future[int]
+    attempts: list[Attempt]  # that it names
+    stored: asyncio.Future[int]  # done once it is; else a `StoreError`
 
     def shares_gang_with(self, later: RecordPart) -> bool:
-        """Whether a gang that one value can't hold goes on in the later piece."""
+        """Whether a gang that one value can't hold continues in the later part."""
         last = self.attempts[-1].job
         return last.spec.gang and later.attempts[0].job is last
 
 
 def joined_by_gangs(parts: list[RecordPart]) -> Iterator[list[RecordPart]]:
-    """Pieces in order, those together that share a gang: it starts once all of them stand."""
+    """The parts in order, with those together that share a gang: it starts once all of them are
+    stored."""
     joined: list[RecordPart] = []
     for part in parts:
         if joined and not joined[-1].shares_gang_with(part):
@@ -100,27 +102,27 @@
 
 @dataclass(slots=True)
 class RecordSize:
-    """How many attempts a stored record names, and since when it stands as it is."""
+    """How many attempts a stored record names."""
 
     attempts: int
-    since: float
+    since: float  # steady time at which it was written or read
 
 
 class RoundRecords:
-    """Writes, reads, compacts and drops the records of rounds."""
+    """Writes, reads, compacts and deletes the records of rounds."""
 
     def __init__(
         self, cluster: ClusterState, writer: Writer, compaction: DeferredWriter | None = None
     ) -> None:
         self.cluster = cluster
         self.writer = writer
-        self.compaction = compaction or writer  # who gives back what the records name in vain
+        self.compaction = compaction or writer  # compacts and deletes records
         self._number = 0
         self._sizes: dict[str, RecordSize] = {}
         cluster.on_round_finished = self.drop
 
     def load(self, items: list[KeyValue], now: float) -> None:
-        """After a take-over: book all attempts that may still exist."""
+        """After a failover: allocate all attempts that may still exist."""
         for item in items:
             self.writer.versions[item.key] = item.version
             entries = from_record(item.value)
@@ -133,6 +135,7 @@
                 self.drop(item.key)
 
     def _adopt(self, entry: RoundEntry, key: str, now: float) -> None:
+        """Allocate the attempts of a record that was read."""
         job = self.cluster.jobs.get(entry.job)
         if job is None:
             return  # archived, which is done only after all its attempts were gone
@@ -141,8 +144,8 @@
             if task in job.done:
                 continue  # it has exited, and is never started again
             if task in job.attempts:
-                # An older round still holds it: the later attempt was made after the earlier
-                # one was surely gone.
+                # The record of an earlier attempt still names it; the later attempt was made only
+                # after the earlier one was proven gone.
                 if job.attempts[task].number >= entry.attempt:
                     continue
                 self.cluster.release(job.attempts[task], now)
@@ -150,12 +153,12 @@
             attempt.enter(AttemptPhase.SENT, now)
 
     def write(self, assignments: list[Assignment], now: float) -> list[RecordPart]:
-        """Book the room of the starts and hand their records to the writer."""
+        """Allocate the capacity of the assignments and submit their records to the writer."""
         parts = []
         for entries in split_entries(self._entries(assignments), self.writer.value_limit):
             self._number += 1
             key = f"{ROUND}{self.cluster.term:08d}-{self._number:07d}"
-            attempts = [attempt for entry in entries for attempt in self._book(entry, key)]
+            attempts = [attempt for entry in entries for attempt in self._allocate(entry, key)]
             self._sizes[key] = RecordSize(len(attempts), now)
             stored = self.writer.submit([Put(key, to_record(entries))])
             parts.append(RecordPart(key, attempts, stored))
@@ -163,17 +166,17 @@
 
     def _entries(self, assignments: list[Assignment]) -> list[RoundEntry]:
         entries = []
-        for job_id, group in groupby(assignments, key=lambda start: start.job):
-            waiting = iter(self.cluster.jobs[job_id].pending)
+        for job_id, group in groupby(assignments, key=lambda assignment: assignment.job):
+            pending = iter(self.cluster.jobs[job_id].pending)
             number = self.cluster.new_attempt_number()
-            for start in group:
+            for assignment in group:
                 tasks = Ranges()
-                for _ in range(start.count):
-                    tasks.add(next(waiting))
-                entries.append(RoundEntry(job_id, number, start.machine, tasks.to_record()))
+                for _ in range(assignment.count):
+                    tasks.add(next(pending))
+                entries.append(RoundEntry(job_id, number, assignment.machine, tasks.to_record()))
         return entries
 
-    def _book(self, entry: RoundEntry, key: str) -> list[Attempt]:
+    def _allocate(self, entry: RoundEntry, key: str) -> list[Attempt]:
         job, machine = self.cluster.jobs[entry.job], self.cluster.machines[entry.machine]
         return [
             self.cluster.allocate(job, task, entry.attempt, machine, key)
@@ -181,13 +184,13 @@
         ]
 
     def drop(self, key: str) -> None:
-        """None of its attempts can exist any more."""
+        """Delete the record: none of its attempts can exist any more."""
         self._sizes.pop(key, None)
         if key in self.writer.versions:
             self.compaction.defer_delete(key)
 
     def compact(self, now: float) -> None:
-        """Offer to write records anew that have long named many more attempts than may exist."""
+        """Defer compacting records that have long named many more attempts than may exist."""
         for key, attempts in self.cluster.rounds.items():
             size = self._sizes.get(key)
             if (
@@ -198,24 +201,25 @@
                 self.compaction.defer(f"compact {key}", partial(self._compacted, key, now))
 
     def _compacted(self, key: str, now: float) -> Mutation | None:
+        """The write that compacts the record as it is then; None if there is no need any more."""
         attempts = list(self.cluster.rounds.get(key, ()))
         if not attempts or key not in self.writer.versions:
             return None
-        # Conditional on the record as it is now: once dropped, it must not be created anew.
+        # Conditional on the record as it is now: once deleted, it must not be created anew.
         unchanged = {key: self.writer.versions[key]}
-        change = Mutation(unchanged, [Put(key, to_record(live_entries(attempts)))])
+        mutation = Mutation(unchanged, [Put(key, to_record(live_entries(attempts)))])
 
         def stored() -> None:
             if key in self._sizes:
                 self._sizes[key] = RecordSize(len(attempts), now)
 
-        return change.then(stored)
+        return mutation.then(stored)
 
 
 def live_entries(attempts: list[Attempt]) -> list[RoundEntry]:
     """Entries that name just these attempts."""
     tasks: dict[tuple[str, int, str], Ranges] = {}
     for attempt in attempts:
-        place = (attempt.job.spec.id, attempt.number, attempt.machine)
-        tasks.setdefault(place, Ranges()).add(attempt.task)
-    return [RoundEntry(*place, ranges.to_record()) for place, ranges in tasks.items()]
+        entry_key = (attempt.job.spec.id, attempt.number, attempt.machine)
+        tasks.setdefault(entry_key, Ranges()).add(attempt.task)
+    return [RoundEntry(*entry_key, ranges.to_record()) for entry_key, ranges in tasks.items()]
--- /dev/null
+++ b/peathall/placement/starter.py
@@ -0,0 +1,134 @@
+"""Carrying out the assignments of a plan: the intent is stored before any start command is sent."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Callable
+from itertools import groupby
+
+from peathall.cluster.job import AttemptPhase, JobHealth, JobPhase
+from peathall.cluster.state import ClusterState
+from peathall.placement.job_views import is_starving
+from peathall.placement.plan import Assignment
+from peathall.placement.rounds import RecordPart, RoundRecords, joined_by_gangs
+from peathall.placement.snapshot import Snapshot
+from peathall.store.client import StoreError
+from peathall.workers.service import Workers
+
+log = logging.getLogger("peathall.placement")
+
+
+class Starter:
+    """Allocates the capacity of assignments, stores their records, and then has them sent."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        workers: Workers,
+        snapshot: Snapshot,
+        rounds: RoundRecords,
+        wall: Callable[[], float],
+    ) -> None:
+        self.cluster = cluster
+        self.workers = workers
+        self.snapshot = snapshot
+        self.rounds = rounds
+        self.wall = wall
+        self.loop = asyncio.get_running_loop()
+
+    async def start(self, assignments: list[Assignment], now: float) -> None:
+        """Start those that are still valid; returns once each is stored or given up."""
+        assignments = self._still_valid(assignments, now)
+        self._log(assignments)
+        self._note_late(assignments, now)
+        for parts in joined_by_gangs(self.rounds.write(assignments, now)):
+            await self._start_together(parts)
+
+    def _still_valid(self, assignments: list[Assignment], now: float) -> list[Assignment]:
+        """Without those of jobs that ended while the round was decided, or of which a machine must
+        not be used any more. Capacity and limits can't have changed: only rounds use them up."""
+        invalid = set()
+        wanted: dict[str, int] = {}
+        for assignment in assignments:
+            wanted[assignment.job] = wanted.get(assignment.job, 0) + assignment.count
+            machine = self.cluster.machines.get(assignment.machine)
+            if machine is None or not self.snapshot.machines.is_schedulable(machine, now):
+                invalid.add(assignment.job)
+        for job_id, count in wanted.items():
+            job = self.cluster.jobs.get(job_id)
+            if (
+                job is None
+                or job.on_hold
+                or job.phase is not JobPhase.ACTIVE
+                or len(job.pending) < count
+            ):
+                invalid.add(job_id)
+        return [assignment for assignment in assignments if assignment.job not in invalid]
+
+    def _log(self, assignments: list[Assignment]) -> None:
+        """One line for each job, however many machines it goes to."""
+        wall = self.wall()
+        for job_id, group in groupby(assignments, key=lambda assignment: assignment.job):
+            spec = self.cluster.jobs[job_id].spec
+            chosen = [(self.cluster.machines[a.machine], a.count) for a in group]
+            log.info(
+                "%s %s: %d tasks to %d machines (%s; %d to fetch) after %.1f s",
+                spec.class_name,
+                job_id,
+                sum(count for _, count in chosen),
+                len(chosen),
+                ", ".join(sorted({machine.type for machine, _ in chosen})),
+                sum(spec.image not in machine.images for machine, _ in chosen),
+                wall - spec.submitted,
+            )
+            for machine, count in chosen:
+                log.debug("%s: %d tasks to %s", job_id, count, machine.name)
+
+    def _note_late(self, assignments: list[Assignment], now: float) -> None:
+        """Mark the jobs that were starving: their starts are protected from preemption."""
+        for job_id in dict.fromkeys(assignment.job for assignment in assignments):
+            job = self.cluster.jobs[job_id]
+            if job.health is not JobHealth.FAILING and not job.attempts:
+                job.started_late |= is_starving(job, now)
+
+    async def _start_together(self, parts: list[RecordPart]) -> None:
+        """Records that share a gang: it starts once all of them are stored, or not at all."""
+        failed: list[RecordPart] = []
+        for part in parts:
+            try:
+                await part.stored
+            except StoreError as exc:
+                log.error("the intent %s is not stored: %s", part.key, exc)
+                failed.append(part)
+        # Of these nothing was written, and nothing started.
+        abandoned = [attempt for part in failed for attempt in part.attempts]
+        broken_gangs = {attempt.job for attempt in abandoned if attempt.job.spec.gang}
+        stored = [part for part in parts if part not in failed]
+        abandoned += [a for part in stored for a in part.attempts if a.job in broken_gangs]
+        for attempt in abandoned:
+            self.cluster.release(attempt, self.loop.time())
+        for part in stored:
+            self._send(part)
+
+    def _send(self, part: RecordPart) -> None:
+        """Its record is stored: let the start commands of its attempts be sent."""
+        now = self.loop.time()
+        within_quota = self.snapshot.context.within_quota
+        to_push: dict[str, bool] = {}  # machine -> whether all that it starts is deferrable
+        for attempt in part.attempts:
+            if attempt.phase is not AttemptPhase.PLANNED:
+                continue
+            attempt.enter(AttemptPhase.INTENDED, now)
+            if attempt.stopping or attempt.job.on_hold or attempt.job.phase is not JobPhase.ACTIVE:
+                self.cluster.release(attempt, now)
+            else:
+                spec = attempt.job.spec
+                deferrable = not spec.gang and spec.id not in within_quota
+                to_push[attempt.machine] = deferrable and to_push.get(attempt.machine, True)
+        if part.key not in self.cluster.rounds:
+            self.rounds.drop(part.key)
+        for name, deferrable in to_push.items():
+            machine = self.cluster.machines.get(name)
+            if machine is not None:
+                self.workers.delivery.push(machine, deferrable)
--- /dev/null
+++ b/peathall/placement/victims.py
@@ -0,0 +1,80 @@
+"""Attempts as victims: what could be preempted, and what that would lose."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+
+from peathall import constants
+from peathall.cluster.job import Attempt, Job
+from peathall.cluster.machine import Machine
+from peathall.cluster.state import ClusterState
+from peathall.placement.context import RoundContext
+from peathall.placement.plan import TaskKey
+from peathall.placement.views import TeamWork, Victim
+
+
+class Victims:
+    """Finds the attempts that a round may preempt, on a machine or of a team."""
+
+    def __init__(self, cluster: ClusterState, context: RoundContext) -> None:
+        self.cluster = cluster
+        self.context = context
+
+    def on_machine(self, machine: Machine, now: float) -> Iterator[Victim]:
+        """What on the machine could be preempted at this steady time."""
+        for attempt in machine.attempts.values():
+            victim = self._victim(attempt, machine, now)
+            if victim is not None:
+                yield victim
+
+    def team_work(self, team: str, priority: int) -> TeamWork:
+        """What of the team is being stopped, and what else a job of that priority may preempt."""
+        cpus = gpus = 0.0
+        units: list[list[Victim]] = []
+        for job in self.cluster.jobs.values():
+            spec = job.spec
+            if spec.team != team or not job.attempts:
+                continue
+            leaving = sum(1 for attempt in job.attempts.values() if attempt.is_leaving)
+            cpus, gpus = cpus + spec.cpus * leaving, gpus + spec.gpus * leaving
+            if spec.priority > priority and leaving < len(job.attempts):
+                units += self._units(job)
+        return TeamWork((cpus, gpus), units)
+
+    def _units(self, job: Job) -> list[list[Victim]]:
+        """Each task of an array by itself; a gang as a whole, if all of it may be preempted."""
+        victims = []
+        for attempt in job.attempts.values():
+            machine = self.cluster.machines[attempt.machine]
+            victim = self._victim(attempt, machine, self.context.now) if machine.cpus else None
+            if victim is not None:
+                victims.append(victim)
+        if not job.spec.gang:
+            return [[victim] for victim in victims]
+        return [victims] if len(victims) == len(job.attempts) else []
+
+    def _victim(self, attempt: Attempt, machine: Machine, now: float) -> Victim | None:
+        """The attempt as a victim; None if it must not be preempted."""
+        if attempt.is_leaving:
+            return None
+        spec = attempt.job.spec
+        ran_s = now - attempt.since if attempt.running else 0.0
+        if attempt.job.started_late and ran_s < constants.STABLE_START_S:
+            return None  # it has waited so long that its start is to count
+        lost_s = spec.save_s if spec.checkpoint_s else ran_s
+        if ran_s < constants.STABLE_START_S:
+            lost_s += constants.STABLE_START_S  # its start would not count any more
+        share = max(spec.cpus / machine.cpus, spec.gpus / max(machine.gpus, 1.0))
+        return Victim(
+            key=TaskKey(spec.id, attempt.task),
+            cpus=spec.cpus,
+            gpus=spec.gpus,
+            ram=spec.ram,
+            machine=machine.name,
+            priority=spec.priority,
+            team=spec.team,
+            within_quota=spec.id in self.context.within_quota,
+            lost_machine_s=(lost_s + constants.RESTART_S) * share,
+            ends_in_s=max(1.0, spec.expected_s - ran_s),
+            borrowed=attempt.job.borrowed,
+        )
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -15,6 +15,7 @@
 from peathall.cells.spill import Backoff, SpillRule, expected_wait_s
 from peathall.config.platform import Objective
 from peathall.leadership.lease import LeaderLease
+from peathall.placement.plan import TaskKey
 from peathall.placement.views import JobView, MachineDetail, MachineView, Victim
 from peathall.protocol.jobs import JobSpec, decode_submission
 from tests.sim.cells_world import gang
@@ -28,13 +29,24 @@
 def machine(name: str, zone: str, gpus: float, ends: tuple[float, ...] = ()) -> MachineView:
     def detail() -> MachineDetail:
         victims = [
-            Victim((f"j-{i}", 0), (2.0, 3.0, 4.0), 1, "blue", False, 0.0, end, machine=name)
+            Victim(
+                key=TaskKey(f"j-{i}", 0),
+                cpus=2.0,
+                gpus=3.0,
+                ram=4.0,
+                priority=1,
+                team="blue",
+                within_quota=False,
+                lost_machine_s=0.0,
+                ends_in_s=end,
+                machine=name,
+            )
             for i, end in enumerate(ends)
         ]
         return MachineDetail(victims=victims)
 
     size = (16.0, 4.0, 128.0)
-    return MachineView(name, "big", zone, True, size, (16.0, gpus, 128.0), detail=detail)
+    return MachineView(name, "big", zone, True, size, (16.0, gpus, 128.0), load_detail=detail)
 
 
 @pytest.mark.parametrize("way_s", [0.0, 0.4, 1.9])
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -9,8 +9,10 @@
 from peathall import constants
 from peathall.cluster.job import AttemptPhase, Job
 from peathall.cluster.machine import Machine, MachinePhase
-from peathall.placement.ordering import gathering_s, order
-from peathall.placement.views import Assignment, JobView, Plan
+from peathall.placement.job_views import is_starving
+from peathall.placement.ordering import gang_starving_bonus_s, job_sort_key
+from peathall.placement.plan import Assignment, Plan
+from peathall.placement.views import JobView
 from peathall.protocol.cloud import MachineType
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_placement, new_workers
@@ -34,11 +36,11 @@
         for job_id, waited in (("j-1", constants.STARVING_S + 1.0), ("j-2", 10.0)):
             workers.cluster.jobs[job_id] = Job(spec(id=job_id, gang=True), now - waited)
             plan.assignments.append(Assignment(job_id, "m-1", 1))
-        await placement._start(plan, now)
+        await placement.starter.start(plan.assignments, now)
         old, young = (workers.cluster.jobs[job_id] for job_id in ("j-1", "j-2"))
 
         def victims(at: float) -> set[str]:
-            return {v.key[0] for v in placement.snapshot.victims(machine, at)}
+            return {v.key[0] for v in placement.snapshot.victims.on_machine(machine, at)}
 
         assert victims(now + 1.0) == {"j-2"}
         for job in (old, young):
@@ -49,9 +51,9 @@
         for job in (old, young):
             job.has_started = job is young
             workers.cluster.release(job.attempts[0], now + 60.0)
-        assert placement.snapshot.is_starving(old, now + 61.0)  # it has not run: its wait goes on
-        assert not placement.snapshot.is_starving(young, now + 61.0)
-        assert placement.snapshot.is_starving(young, now + 61.0 + constants.STARVING_S)
+        assert is_starving(old, now + 61.0)  # it has not run: its wait goes on
+        assert not is_starving(young, now + 61.0)
+        assert is_starving(young, now + 61.0 + constants.STARVING_S)
 
     asyncio.run(run())
 
@@ -87,20 +89,20 @@
 def test_among_those_that_have_aged_a_large_gang_need_not_be_the_oldest() -> None:
     """Its machines fall free one by one, while a small one finds its own soon."""
 
-    def is_starving(tasks: int, submitted: float) -> tuple[float, ...]:
-        return order(
+    def key(tasks: int, submitted: float) -> tuple[float, ...]:
+        return job_sort_key(
             JobView(spec(gang=True, tasks=tasks, submitted=submitted), tasks, is_starving=True),
             (9.0, 9.0),
         )
 
-    assert is_starving(8, 60.0) < is_starving(1, 0.0)
-    assert is_starving(1, 0.0) < is_starving(8, 80.0)
+    assert key(8, 60.0) < key(1, 0.0)
+    assert key(1, 0.0) < key(8, 80.0)
     assert (
-        gathering_s(spec(gang=True, tasks=100))
+        gang_starving_bonus_s(spec(gang=True, tasks=100))
         == constants.GANG_STARVING_MOST_S
         < constants.STARVING_S
     )
-    assert gathering_s(spec(gang=False, tasks=100)) == 0.0
+    assert gang_starving_bonus_s(spec(gang=False, tasks=100)) == 0.0
 
 
 def test_a_planned_move_has_its_target_ready() -> None:
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -8,6 +8,7 @@
 from peathall.autoscaling.scale_out import Bin, MachineOffer, plan_scale_out
 from peathall.config.platform import Objective, Team
 from peathall.placement.ordering import latest_start
+from peathall.placement.plan import Plan, TaskKey
 from peathall.placement.planner import Round, make_plan
 from peathall.placement.pool import MachinePool
 from peathall.placement.views import (
@@ -15,7 +16,6 @@
     MachineDetail,
     MachineView,
     MovingReplica,
-    Plan,
     TeamWork,
     Victim,
 )
@@ -49,7 +49,7 @@
                 zone=rng.choice("ab"),
                 spot=rng.random() < 0.5,
                 images=rng.sample(["x", "y", "z"], rng.randrange(3)),
-                stale=rng.randrange(2),
+                missed_intervals=rng.randrange(2),
             )
         )
     jobs = []
@@ -74,7 +74,7 @@
     def __init__(self, machines: list[MachineView], teams: dict[str, Team]) -> None:
         self.machines, self.teams = machines, teams
         self.free = {m.name: list(m.free) for m in machines}
-        self.pulling = {m.name: set(m.look().pulling) for m in machines}
+        self.fetching = {m.name: set(m.detail().fetching) for m in machines}
         self.used = {t: [0.0, 0.0] for t in teams}
         self.assignments: Counter[tuple[str, str]] = Counter()
 
@@ -88,7 +88,8 @@
 
             return (
                 m.gpus, s.image not in m.images,
-                s.image not in m.images and s.image not in self.pulling[m.name], m.stale,
+                s.image not in m.images and s.image not in self.fetching[m.name],
+                m.missed_intervals,
                 not m.spot, self.free[m.name][2], self.free[m.name][0],
                 crc32(f"{s.id} {m.name}".encode()),
             )  # fmt: skip
@@ -122,7 +123,7 @@
                 only = m.zone
             for i, need in enumerate((s.cpus, s.gpus, s.ram)):
                 self.free[m.name][i] -= need
-            self.pulling[m.name].add(s.image)
+            self.fetching[m.name].add(s.image)
             self.used[s.team][0] += s.cpus
             self.used[s.team][1] += s.gpus
             zones[m.zone] += 1
@@ -139,7 +140,7 @@
         for only in names if s.one_zone else [None]:
             saved = (
                 {k: list(v) for k, v in self.free.items()},
-                {k: set(v) for k, v in self.pulling.items()},
+                {k: set(v) for k, v in self.fetching.items()},
                 {k: list(v) for k, v in self.used.items()},
             )
             placed = self.try_place(s, only)
@@ -147,7 +148,7 @@
                 images = {m.name: m.images for m in self.machines}
                 uncached = sum(s.image not in images[name] for _, name in placed)
                 options.append((uncached, str(only), only))
-            self.free, self.pulling, self.used = saved
+            self.free, self.fetching, self.used = saved
         if options:
             self.assignments.update(self.try_place(s, min(options)[2]))
 
@@ -177,12 +178,15 @@
 
 
 def victim(name: str, priority: int, team: str = "u", guaranteed: bool = False) -> Victim:
-    return Victim((name, 0), (4.0, 0.0, 8.0), priority, team, guaranteed, 1.0, 60.0, machine="m-0")
+    return Victim(
+        key=TaskKey(name, 0), cpus=4.0, gpus=0.0, ram=8.0, priority=priority, team=team,
+        within_quota=guaranteed, lost_machine_s=1.0, ends_in_s=60.0, machine="m-0",
+    )  # fmt: skip
 
 
 def full(priority: int, **more: object) -> MachineView:
     detail = MachineDetail(victims=[victim("j-9", priority, **more)])  # type: ignore[arg-type]
-    view = machine("m-0", (4.0, 0.0, 8.0), detail=lambda: detail)
+    view = machine("m-0", (4.0, 0.0, 8.0), load_detail=lambda: detail)
     view.free = [0.0, 0.0, 0.0]
     return view
 
@@ -212,9 +216,12 @@
     small = JobView(spec(id="j-2", tasks=4, estimate_s=100.0), 4)
     brief = JobView(spec(id="j-3", tasks=1, estimate_s=5.0), 1)
     view = full(1)
-    half = Victim(("j-9", 0), (2.0, 0.0, 4.0), 1, "u", False, 1.0, 30.0, machine="m-0")
+    half = Victim(
+        key=TaskKey("j-9", 0), cpus=2.0, gpus=0.0, ram=4.0, priority=1, team="u",
+        within_quota=False, lost_machine_s=1.0, ends_in_s=30.0, machine="m-0",
+    )  # fmt: skip
     detail = MachineDetail(victims=[half])
-    view.detail = lambda: detail
+    view.load_detail = lambda: detail
     view.free = [2.0, 0.0, 4.0]
     plan = make_plan([gang, small, brief], [view], TEAMS, {})
     assert [(s.job, s.count) for s in plan.assignments] == [("j-3", 1)]
@@ -313,7 +320,7 @@
     for priority, urgent, started in ((2, False, 8), (3, False, 16), (2, True, 20)):
         views = [machine(f"m-{i}", (4.0, 0.0, 80.0)) for i in range(5)]
         job = JobView(spec(tasks=20, priority=priority), 20, urgent=urgent)
-        current = Round(views, TEAMS, {}, shapes=[shape], lowest=-1)
+        current = Round(views, TEAMS, {}, gang_shapes=[shape], lowest_priority=-1)
         for _ in current.run([job]):
             pass
         assert sum(start.count for start in current.plan.assignments) == started
@@ -327,17 +334,19 @@
     assert sorted(start.count for start in plan.assignments) == [1, 1, 1, 1]
     assert len({start.machine for start in plan.assignments}) == 3
     views = [machine(f"m-{i}", (4.0, 0.0, 8.0)) for i in range(3)]
-    plan = make_plan([JobView(replicas, 1, hosts={"m-0", "m-1"})], views, TEAMS, {})
+    plan = make_plan([JobView(replicas, 1, replica_machines={"m-0", "m-1"})], views, TEAMS, {})
     assert [start.machine for start in plan.assignments] == ["m-2"]
     kept = machine("m-0", (4.0, 0.0, 8.0))
-    kept.kept_for = 50.0
-    assert not MachinePool.may_fill(kept, replicas)
-    assert MachinePool.may_fill(kept, spec(estimate_s=10.0))
+    kept.gang_wait_s = 50.0
+    assert not MachinePool.may_start_on(kept, replicas)
+    assert MachinePool.may_start_on(kept, spec(estimate_s=10.0))
 
 
 def own_victim(name: str, priority: int, gpus: float, at: str = "m-0", task: int = 0) -> Victim:
-    need = (1.0, gpus, 1.0)
-    return Victim((name, task), need, priority, "t", False, gpus, 60.0, machine=at)
+    return Victim(
+        key=TaskKey(name, task), cpus=1.0, gpus=gpus, ram=1.0, priority=priority, team="t",
+        within_quota=False, lost_machine_s=gpus, ends_in_s=60.0, machine=at,
+    )  # fmt: skip
 
 
 def at_the_limit(
@@ -356,7 +365,7 @@
         return TeamWork((0.0, leaving), [u for u in units if u[0].priority > priority])
 
     teams = {"t": Team("t", gpus_max=8.0)}
-    current = Round(views, teams, {"t": [8.0, used]}, lowest=3, team_work=team_work)
+    current = Round(views, teams, {"t": [8.0, used]}, lowest_priority=3, team_work=team_work)
     for _ in current.run([job, *others]):
         pass
     return current.plan
@@ -426,7 +435,7 @@
     moving = [MovingReplica(0, "a")]
     views = [machine(f"m-{i}", (1.0, 0.0, 8.0), zone="ab"[i % 2]) for i in range(3)]
     zones = {"a": 1, "b": 1}  # the one in `a` is to move, and stays in its zone
-    job = JobView(replicas, 0, running_zones=zones, hosts={"m-9", "m-1"}, moving=moving)
+    job = JobView(replicas, 0, running_zones=zones, replica_machines={"m-9", "m-1"}, moving=moving)
     plan = make_plan([job], views, TEAMS, {})
     assert [(m.job, m.task, m.machine) for m in plan.moves] in (
         [("j-1", 0, "m-0")],
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -13,8 +13,8 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import StateSettings
 from peathall.leadership.lease import first_attempt
+from peathall.placement.plan import Assignment, Plan
 from peathall.placement.rounds import ROUND, RoundRecords, from_record
-from peathall.placement.views import Assignment, Plan
 from peathall.protocol.codec import json_size
 from peathall.store.client import InvalidTransactionError, KeyValue
 from peathall.store.writer import Writer
@@ -148,7 +148,9 @@
 
         writer: Any = SimpleNamespace(versions={}, submit=submit, value_limit=1740)
         placement = new_placement(workers, writer)
-        starting = asyncio.create_task(placement._start(wide_gang(workers, 130), 0.0))
+        starting = asyncio.create_task(
+            placement.starter.start(wide_gang(workers, 130).assignments, 0.0)
+        )
         await asyncio.sleep(0)
         jobs = workers.cluster.jobs
         assert len(written) >= 3
@@ -186,7 +188,9 @@
             versions={}, submit=submit, value_limit=1740, defer_delete=lambda key: None
         )
         plan = wide_gang(before, 130)
-        starting = asyncio.create_task(new_placement(before, writer)._start(plan, now))
+        starting = asyncio.create_task(
+            new_placement(before, writer).starter.start(plan.assignments, now)
+        )
         await asyncio.sleep(0)
         starting.cancel()
 
