--- a/peathall/placement/job_views.py
+++ b/peathall/placement/job_views.py
@@ -119,34 +119,10 @@
         return moving
 
     def _view(self, job: Job, startable: int, moving: list[MovingReplica]) -> JobView:
-        running_zones = self._running_zones(job)
-        avoid = frozenset(self.faults.machines_to_avoid(job))
         if job.health is JobHealth.FAILING:
-            return JobView(
-                job.spec,
-                startable,
-                # A canary may wait until capacity is left over: it is short-lived if it fails.
-                latest_start=self.context.wall + constants.CANARY_DELAY_S,
-                running_zones=running_zones,
-                urgent=False,
-                is_canary=True,
-                avoid=avoid,
-                replica_machines=self._replica_machines(job),
-                moving=moving,
-            )
-        has_old_attempts = job.spec.gang and bool(job.attempts)
+            return self._canary_view(job, startable, moving)
         if job.borrowed:
-            return JobView(
-                job.spec,
-                startable,
-                latest_start=self.context.wall,
-                running_zones=running_zones,
-                has_old_attempts=has_old_attempts,
-                urgent=False,
-                borrowed=True,
-                avoid=avoid,
-                reservations=self.reservations.ready(job),
-            )
+            return self._borrowed_view(job, startable)
         latest = latest_start(job.spec, self.objectives, self.context.wall, 0.0)
         starving = not job.attempts and is_starving(job, self.context.now)
         late = latest - self.context.wall < constants.URGENT_S
@@ -155,17 +131,47 @@
             startable,
             within_quota=job.spec.id in self.context.within_quota,
             latest_start=latest,
-            running_zones=running_zones,
-            has_old_attempts=has_old_attempts,
+            running_zones=self._running_zones(job),
+            has_old_attempts=job.spec.gang and bool(job.attempts),
             urgent=starving or job.spec.daemon or late,
             is_starving=starving,
             fetch_s=self._fetch_s(job.spec),
-            avoid=avoid,
+            avoid=self._avoid(job),
             replica_machines=self._replica_machines(job),
             moving=moving,
             reservations=self.reservations.ready(job) if job.spec.daemon else {},
         )
 
+    def _canary_view(self, job: Job, startable: int, moving: list[MovingReplica]) -> JobView:
+        return JobView(
+            job.spec,
+            startable,
+            # Nothing makes the canary of a failing job urgent: it waits for capacity left over.
+            latest_start=self.context.wall + constants.CANARY_DELAY_S,
+            running_zones=self._running_zones(job),
+            urgent=False,
+            is_canary=True,
+            avoid=self._avoid(job),
+            replica_machines=self._replica_machines(job),
+            moving=moving,
+        )
+
+    def _borrowed_view(self, job: Job, startable: int) -> JobView:
+        return JobView(
+            job.spec,
+            startable,
+            latest_start=self.context.wall,
+            running_zones=self._running_zones(job),
+            has_old_attempts=job.spec.gang and bool(job.attempts),
+            urgent=False,
+            borrowed=True,
+            avoid=self._avoid(job),
+            reservations=self.reservations.ready(job),
+        )
+
+    def _avoid(self, job: Job) -> frozenset[str]:
+        return frozenset(self.faults.machines_to_avoid(job))
+
     def _running_zones(self, job: Job) -> dict[str, int]:
         """Zone -> tasks there, for a job whose rules depend on it."""
         zones: dict[str, int] = {}
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -1,4 +1,4 @@
-"""Jobs that have waited long: placed first, and then left alone until their start counts."""
+"""Rounds at the leader: starving jobs, zones known after a failover, and moves of replicas."""
 
 from __future__ import annotations
 
@@ -9,6 +9,7 @@
 from peathall import constants
 from peathall.cluster.job import AttemptPhase, Job
 from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.state import ClusterState
 from peathall.placement.job_views import is_starving
 from peathall.placement.ordering import gang_starving_bonus_s, job_sort_key
 from peathall.placement.plan import Assignment, Plan
@@ -18,20 +19,29 @@
 from tests.unit.test_workers import new_placement, new_workers
 
 
-def test_a_start_that_was_waited_for_so_long_is_left_alone_and_ends_no_wait() -> None:
-    """An aged gang was stopped for others 0.3 s after its start, and waited 350 s more: its
-    wait had begun anew, though none of its tasks had run."""
+def storing_writer() -> Any:
+    """A writer that stores all it is given at once."""
+    stored: asyncio.Future[int] = asyncio.get_running_loop().create_future()
+    stored.set_result(1)
+    return SimpleNamespace(versions={}, submit=lambda ops: stored, value_limit=1000)
+
+
+def machine_up(cluster: ClusterState, name: str, zone: str, now: float) -> Machine:
+    """A machine that takes new work."""
+    machine = cluster.machine(name, "g", zone, False, MachinePhase.UP, now)
+    machine.confirmed, machine.last_heard = True, now
+    return machine
+
+
+def test_the_first_start_of_a_starving_job_is_not_preempted_and_restarts_no_wait() -> None:
+    """A starving gang was preempted 0.3 s after its start, and waited 350 s more: its wait had
+    begun anew, though none of its tasks had run."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
         workers = new_workers(now)
-        stored: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        stored.set_result(1)
-        writer: Any = SimpleNamespace(versions={}, submit=lambda ops: stored, value_limit=1000)
-        placement = new_placement(workers, writer)
-        machine = workers.cluster.machine("m-1", "g", "a", False, MachinePhase.UP, now)
-        machine.confirmed = True
-        machine.last_heard = now
+        placement = new_placement(workers, storing_writer())
+        machine = machine_up(workers.cluster, "m-1", "a", now)
         plan = Plan()
         for job_id, waited in (("j-1", constants.STARVING_S + 1.0), ("j-2", 10.0)):
             workers.cluster.jobs[job_id] = Job(spec(id=job_id, gang=True), now - waited)
@@ -58,9 +68,9 @@
     asyncio.run(run())
 
 
-def test_where_a_job_s_tasks_are_is_known_before_more_of_it_are_placed() -> None:
+def test_a_spread_job_is_not_placed_while_the_zone_of_one_of_its_machines_is_unknown() -> None:
     """A new leader knew two tasks of an array to be spread from records only, on a machine that
-    hung while the cloud was down: its zone counted as none, and got all the others as well."""
+    was silent while the cloud was down: its zone counted as none, and got all the others too."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
@@ -71,12 +81,11 @@
         }
         placement = new_placement(workers, SimpleNamespace())
         job = cluster.jobs["j-1"] = Job(spec(tasks=4, spread=True), now)
-        hung = cluster.machine("m-1", "", "", False, MachinePhase.RECOVERED, now)
+        silent = cluster.machine("m-1", "", "", False, MachinePhase.RECOVERED, now)
         for task in (0, 1):
-            cluster.allocate(job, task, 7, hung, "round/1")
+            cluster.allocate(job, task, 7, silent, "round/1")
         for name, zone in (("m-2", "a"), ("m-3", "b")):
-            up = cluster.machine(name, "g", zone, False, MachinePhase.UP, now)
-            up.confirmed, up.last_heard = True, now
+            machine_up(cluster, name, zone, now)
         assert (await placement.decide(now)).assignments == []
         cluster.machine("m-1", "g", "a", False, MachinePhase.RECOVERED, now)  # listed
         assert [(x.machine, x.count) for x in (await placement.decide(now)).assignments] == [
@@ -86,8 +95,8 @@
     asyncio.run(run())
 
 
-def test_among_those_that_have_aged_a_large_gang_need_not_be_the_oldest() -> None:
-    """Its machines fall free one by one, while a small one finds its own soon."""
+def test_among_starving_jobs_a_large_gang_goes_before_an_older_small_one() -> None:
+    """Its machines become free one by one, while a small one finds its own soon."""
 
     def key(tasks: int, submitted: float) -> tuple[float, ...]:
         return job_sort_key(
@@ -105,39 +114,30 @@
     assert gang_starving_bonus_s(spec(gang=False, tasks=100)) == 0.0
 
 
-def test_a_planned_move_has_its_target_ready() -> None:
-    """A replica on a sick machine was stopped before anything was known of its next place."""
+def test_a_replica_is_stopped_for_a_move_only_once_capacity_is_reserved() -> None:
+    """A replica on an unhealthy machine was stopped before it was known where it can go."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
         workers = new_workers(now)
         cluster = workers.cluster
         cluster.types = {"g": MachineType("g", 4.0, 0.0, 8.0, 50.0, 1.0, 1.0, 1.0, 30.0, ["a"])}
-        stored: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        stored.set_result(1)
-        writer: Any = SimpleNamespace(versions={}, submit=lambda ops: stored, value_limit=1000)
-        placement = new_placement(workers, writer)
-
-        def up(name: str) -> Machine:
-            machine = cluster.machine(name, "g", "a", False, MachinePhase.UP, now)
-            machine.confirmed, machine.last_heard = True, now
-            return machine
-
-        sick, target = up("m-1"), up("m-2")
+        placement = new_placement(workers, storing_writer())
+        unhealthy, target = (machine_up(cluster, name, "a", now) for name in ("m-1", "m-2"))
         job = cluster.jobs["j-1"] = Job(spec(daemon=True, cpus=2.0, priority=0), now)
-        replica = cluster.allocate(job, 0, 7, sick, "round/1")
+        replica = cluster.allocate(job, 0, 7, unhealthy, "round/1")
         replica.enter(AttemptPhase.RUNNING, now)
         filler = cluster.jobs["j-2"] = Job(spec(id="j-2", cpus=3.0, priority=0), now)
         other = cluster.allocate(filler, 0, 8, target, "round/2")
         other.enter(AttemptPhase.RUNNING, now)
-        workers.quarantine(sick, "it fails tasks")
+        workers.quarantine(unhealthy, "it fails tasks")
         await placement.round(now)
-        assert not replica.stopping  # no room anywhere: it stays as long as it may
+        assert not replica.stopping  # no capacity anywhere: it runs on
         cluster.release(other, now)
         filler.mark_done(0)
         await placement.round(now + 1.0)
         assert replica.stopping and target.attempts == {}
-        # Until its old attempt is gone, nobody gets the booked room.
+        # Until its old attempt is gone, no other job gets the reserved capacity.
         late = cluster.jobs["j-3"] = Job(spec(id="j-3", tasks=4, priority=0), now)
         await placement.round(now + 2.0)
         assert sorted(late.attempts) == [0, 1]
@@ -151,8 +151,9 @@
     asyncio.run(run())
 
 
-def test_a_job_that_ends_while_its_move_is_decided_is_left_alone() -> None:
-    """A round gives others their turn: a job cancelled and archived meanwhile ended the term."""
+def test_a_move_of_a_job_that_ended_while_it_was_decided_is_ignored() -> None:
+    """Other coroutines run during a round: a job cancelled and archived meanwhile ended the
+    term."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
@@ -161,8 +162,7 @@
         placement = new_placement(workers, SimpleNamespace(versions={}))
         job = cluster.jobs["j-1"] = Job(spec(daemon=True), now)
         for name in ("m-1", "m-2"):
-            machine = cluster.machine(name, "g", "a", False, MachinePhase.UP, now)
-            machine.confirmed, machine.last_heard = True, now
+            machine_up(cluster, name, "a", now)
         replica = cluster.allocate(job, 0, 7, cluster.machines["m-1"], "round/1")
         replica.enter(AttemptPhase.RUNNING, now)
         workers.quarantine(cluster.machines["m-1"], "it fails tasks")
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -79,8 +79,8 @@
         self.assignments: Counter[tuple[str, str]] = Counter()
 
     def fits(self, m: MachineView, s: JobSpec) -> bool:
-        room = self.free[m.name]
-        return room[0] >= s.cpus and room[1] >= s.gpus and room[2] >= s.ram
+        free = self.free[m.name]
+        return free[0] >= s.cpus and free[1] >= s.gpus and free[2] >= s.ram
 
     def best(self, s: JobSpec, zones: Counter[str], only: str | None) -> MachineView | None:
         def rank(m: MachineView) -> tuple[object, ...]:
@@ -198,20 +198,20 @@
     return make_plan([job], [view], TEAMS, {}).stops
 
 
-def test_who_may_stop_whom() -> None:
+def test_which_work_a_job_may_preempt() -> None:
     high = JobView(spec(priority=1), 1)
     assert stops(high, full(2)) == [("j-9", 0)]
     assert stops(high, full(1)) == []
     assert stops(JobView(spec(priority=1), 1, urgent=False), full(2)) == []
     # A guarantee reaches other teams' uncovered work of its own priority only: above it,
-    # the two jobs stopped one another in turns, twice a second.
+    # the two jobs preempted one another in turns, twice a second.
     assert stops(JobView(spec(), 1, within_quota=True), full(2)) == [("j-9", 0)]
     assert stops(JobView(spec(), 1, within_quota=True), full(1)) == []
     assert stops(JobView(spec(), 1, within_quota=True), full(2, guaranteed=True)) == []
     assert stops(JobView(spec(), 1, within_quota=True), full(2, team="t")) == []
 
 
-def test_a_gang_gets_machines_kept_that_small_tasks_would_fill() -> None:
+def test_a_machine_is_held_for_a_gang_and_meanwhile_runs_only_short_tasks() -> None:
     gang = JobView(spec(id="j-1", gang=True, cpus=4.0), 1)
     small = JobView(spec(id="j-2", tasks=4, estimate_s=100.0), 4)
     brief = JobView(spec(id="j-3", tasks=1, estimate_s=5.0), 1)
@@ -227,7 +227,7 @@
     assert [(s.job, s.count) for s in plan.assignments] == [("j-3", 1)]
 
 
-def test_a_machine_with_the_image_is_cleared_for_an_urgent_job() -> None:
+def test_an_urgent_job_preempts_on_a_machine_that_has_its_image_if_the_fetch_is_slow() -> None:
     cached = full(3)
     cached.images = {"i"}
     empty = machine("m-1", (4.0, 0.0, 8.0))
@@ -239,31 +239,31 @@
     assert (plan.stops, [s.machine for s in plan.assignments]) == ([], ["m-1"])
 
 
-def test_a_failed_machine_is_avoided() -> None:
+def test_a_machine_on_which_the_job_failed_is_avoided() -> None:
     views = [machine("m-0", (4.0, 0.0, 8.0)), machine("m-1", (8.0, 0.0, 16.0))]
     plan = make_plan([JobView(spec(), 1, avoid=["m-0"])], views, TEAMS, {})
     assert [s.machine for s in plan.assignments] == ["m-1"]
 
 
-def test_latest_start_takes_the_next_aim_that_can_be_met() -> None:
-    aims = [
+def test_latest_start_is_for_the_next_objective_that_can_be_met() -> None:
+    objectives = [
         Objective("wait", "c", 20.0, 0.9),
         Objective("finished", "c", 100.0, 0.9),
         Objective("deadline", "c", None, 0.9, 1.5),
         Objective("wait", "other", 1.0, 0.9),
     ]
     job = spec(estimate_s=30.0, submitted=1000.0, deadline_s=120.0)
-    assert latest_start(job, aims, 1000.0, 0.0) == 1020.0
-    assert latest_start(job, aims, 1021.0, 0.0) == 1070.0
-    assert latest_start(job, aims, 1071.0, 0.0) == 1150.0
-    assert latest_start(job, aims, 1200.0, 0.0) > 1e6
+    assert latest_start(job, objectives, 1000.0, 0.0) == 1020.0
+    assert latest_start(job, objectives, 1021.0, 0.0) == 1070.0
+    assert latest_start(job, objectives, 1071.0, 0.0) == 1150.0
+    assert latest_start(job, objectives, 1200.0, 0.0) > 1e6
 
 
 KIND = MachineType("g", 8.0, 0.0, 16.0, 50.0, 1.0, 10.0, 3.0, 30.0, ["a", "b"])
 OFFERS = [MachineOffer(KIND, zone, spot) for zone in "ab" for spot in (True, False)]
 
 
-def rented(
+def provisioned(
     job: JobView, count: int, coming: list[Bin], left: list[Bin]
 ) -> Counter[tuple[str, bool]]:
     found: Counter[tuple[str, bool]] = Counter()
@@ -272,38 +272,38 @@
     return found
 
 
-def test_rentals() -> None:
+def test_new_machines_are_as_many_as_needed_and_in_the_zones_that_the_job_allows() -> None:
     array = JobView(spec(tasks=20), 20)
-    assert rented(array, 20, [], []) == {("a", True): 3}
-    assert rented(array, 20, [Bin(OFFERS[0])], []) == {("a", True): 2}
-    assert rented(JobView(spec(tasks=20, spot=False), 20), 20, [], []) == {("a", False): 3}
-    # Machines for a spread gang were once all rented in one zone, over and over.
+    assert provisioned(array, 20, [], []) == {("a", True): 3}
+    assert provisioned(array, 20, [Bin(OFFERS[0])], []) == {("a", True): 2}
+    assert provisioned(JobView(spec(tasks=20, spot=False), 20), 20, [], []) == {("a", False): 3}
+    # Machines for a spread gang were once all provisioned in one zone, again and again.
     spread = JobView(spec(gang=True, tasks=4, cpus=8.0, spread=True), 4)
-    assert rented(spread, 4, [], []) == {("a", True): 2, ("b", True): 2}
-    # All in the zone where there is room already.
+    assert provisioned(spread, 4, [], []) == {("a", True): 2, ("b", True): 2}
+    # All in the zone that has free capacity already.
     together = JobView(spec(gang=True, tasks=3, cpus=8.0, one_zone=True), 3)
-    assert rented(together, 3, [], [Bin(OFFERS[2])]) == {("b", True): 3}
-    assert rented(together, 3, [Bin(OFFERS[2])], []) == {("b", True): 2}
+    assert provisioned(together, 3, [], [Bin(OFFERS[2])]) == {("b", True): 3}
+    assert provisioned(together, 3, [Bin(OFFERS[2])], []) == {("b", True): 2}
 
 
-def test_rentals_for_jobs_bound_to_one_zone() -> None:
-    """Room left over in a zone where the job may not go, or where it is too small and the cloud
-    has no more, was once taken for the job's zone: nothing was rented, and it waited for ever."""
+def test_free_capacity_that_a_job_may_not_use_does_not_replace_new_machines() -> None:
+    """A zone that the job may not use, or with too little capacity left and no more machines to
+    provision, was once chosen for the job: nothing was provisioned, and it waited for ever."""
     bound = JobView(spec(gang=True, tasks=3, cpus=8.0, one_zone=True, zone="b"), 3)
     plenty = [Bin(OFFERS[0]) for _ in range(9)]
-    assert rented(bound, 3, [], plenty) == {("b", True): 3}
+    assert provisioned(bound, 3, [], plenty) == {("b", True): 3}
     anywhere = JobView(spec(gang=True, tasks=3, cpus=8.0, one_zone=True), 3)
     only_b = plan_scale_out([(anywhere, 3)], [], plenty[:2], OFFERS[2:])
     assert [(offer.zone, count) for offer, count in only_b] == [("b", 3)]
 
 
-def test_an_aged_gang_goes_first_and_has_its_team_s_limit_kept_for_it() -> None:
+def test_a_starving_gang_goes_first_and_has_its_team_s_limit_reserved_for_it() -> None:
     teams = {"t": Team("t", cpus_max=8.0)}
     views = [machine(f"m-{i}", (4.0, 0.0, 8.0)) for i in range(3)]
     gang = JobView(spec(id="j-1", gang=True, tasks=2, cpus=4.0, priority=2), 2, is_starving=True)
     small = JobView(spec(id="j-2", cpus=4.0, priority=1), 1)
     assert [s.job for s in make_plan([small, gang], views, teams, {}).assignments] == ["j-1", "j-1"]
-    # Half of the limit is in use: a smaller job of the team would take what is left for ever.
+    # Half of the limit is in use: smaller jobs of the team would use what is left for ever.
     for view in views:
         view.free = [4.0, 0.0, 8.0]
     gang.pending, small.pending = 2, 1
@@ -314,7 +314,7 @@
     ] == ["j-2"]
 
 
-def test_room_for_a_whole_gang_is_spared_by_tasks_that_it_could_not_stop() -> None:
+def test_tasks_leave_capacity_for_a_gang_that_could_not_preempt_them() -> None:
     """Small tasks had one left of each machine that only the gangs of a class fit on."""
     shape = spec(id="j-9", gang=True, tasks=3, cpus=4.0, priority=2)
     for priority, urgent, started in ((2, False, 8), (3, False, 16), (2, True, 20)):
@@ -327,7 +327,7 @@
 
 
 def test_replicas_of_a_job_go_to_different_machines_while_there_are_any() -> None:
-    """And count on no end of theirs: a machine is not kept for a gang until one goes."""
+    """And a replica, which never ends by itself, starts on no machine that is held for a gang."""
     views = [machine(f"m-{i}", (4.0, 0.0, 8.0)) for i in range(3)]
     replicas = spec(tasks=4, daemon=True, estimate_s=0.0, priority=0)
     plan = make_plan([JobView(replicas, 4)], views, TEAMS, {})
@@ -336,10 +336,10 @@
     views = [machine(f"m-{i}", (4.0, 0.0, 8.0)) for i in range(3)]
     plan = make_plan([JobView(replicas, 1, replica_machines={"m-0", "m-1"})], views, TEAMS, {})
     assert [start.machine for start in plan.assignments] == ["m-2"]
-    kept = machine("m-0", (4.0, 0.0, 8.0))
-    kept.gang_wait_s = 50.0
-    assert not MachinePool.may_start_on(kept, replicas)
-    assert MachinePool.may_start_on(kept, spec(estimate_s=10.0))
+    held = machine("m-0", (4.0, 0.0, 8.0))
+    held.gang_wait_s = 50.0
+    assert not MachinePool.may_start_on(held, replicas)
+    assert MachinePool.may_start_on(held, spec(estimate_s=10.0))
 
 
 def own_victim(name: str, priority: int, gpus: float, at: str = "m-0", task: int = 0) -> Victim:
@@ -371,7 +371,7 @@
     return current.plan
 
 
-def test_work_of_lower_priority_makes_way_under_its_team_s_limit() -> None:
+def test_a_job_at_its_team_s_limit_preempts_the_team_s_work_of_lower_priority() -> None:
     """A job of high priority waited for 376 s while its team's limit was used up by lower work."""
     high = spec(id="j-1", priority=1, gpus=1.0)
     units = [[own_victim("j-8", 2, 1.0)], [own_victim("j-9", 3, 1.0)]]
@@ -380,7 +380,7 @@
         [("j-9", 0)],
         [],
     )  # what matters least; none starts yet
-    # It is on its way out: nothing else is stopped for the same room.
+    # It is being stopped already: nothing else is preempted for the same capacity.
     assert at_the_limit(JobView(high, 1), units[:1], leaving=1.0).stops == []
     # Its equals are left alone, and so is everybody as long as there is time.
     assert at_the_limit(JobView(high, 1), [[own_victim("j-8", 1, 1.0)]]).stops == []
@@ -388,16 +388,17 @@
     assert at_the_limit(JobView(high, 1, urgent=False, is_canary=True), units).stops == []
 
 
-def test_nothing_is_stopped_for_a_limit_as_long_as_no_machine_has_room() -> None:
+def test_nothing_is_preempted_for_a_limit_as_long_as_no_machine_has_capacity() -> None:
     high = JobView(spec(id="j-1", priority=1, gpus=1.0), 1)
     plan = at_the_limit(high, [[own_victim("j-9", 3, 1.0)]], free_gpus=0.0)
     assert plan.stops == []
-    assert [(job.spec.id, count) for job, count in plan.unplaced] == [("j-1", 1)]  # rented instead
+    # Machines are provisioned instead.
+    assert [(job.spec.id, count) for job, count in plan.unplaced] == [("j-1", 1)]
 
 
-def test_gangs_and_limits() -> None:
-    """All of a gang fits under the limit, or nothing is stopped for it; a gang that is stopped
-    is stopped as a whole, and the room goes to nobody else of the team."""
+def test_a_gang_preempts_for_the_limit_and_is_preempted_only_as_a_whole() -> None:
+    """All of a gang fits under the limit, or nothing is preempted for it; a gang is preempted as a
+    whole, and what it frees goes to no other job of the team."""
     gang = spec(id="j-1", priority=1, gang=True, tasks=3, gpus=1.0)
     singles = [[own_victim(f"j-{n}", 2, 1.0)] for n in (7, 8)]
     assert at_the_limit(JobView(gang, 3), singles).stops == []
@@ -406,21 +407,21 @@
     plan = at_the_limit(JobView(gang, 3), [whole], others=(small,))
     assert plan.stops == [("j-9", task) for task in range(4)]
     assert plan.assignments == []
-    # One of three is free already: a smaller job would take it for ever.
+    # One of three is free already: smaller jobs would use it for ever.
     assert at_the_limit(JobView(gang, 3), [whole], others=(small,), used=7.0).assignments == []
     # The gang alone is enough: the single task, cheaper but of no help, is left alone.
     assert at_the_limit(JobView(gang, 3), [*singles[:1], whole]).stops == plan.stops
 
 
-def test_a_lost_replica_s_room_under_the_limit_stays_its_job_s() -> None:
-    """An array of the team took it, also one that had aged and goes before all others."""
+def test_the_part_of_the_limit_of_a_lost_replica_stays_reserved_for_it() -> None:
+    """An array of the team used it, also one that was starving and goes before all others."""
     replica = spec(id="j-1", daemon=True, tasks=2, priority=0)
-    is_starving = JobView(spec(id="j-2", tasks=4), 4, is_starving=True)
+    starving = JobView(spec(id="j-2", tasks=4), 4, is_starving=True)
     teams = {"t": Team("t", cpus_max=3.0)}
     for waiting in (
-        [is_starving, JobView(replica, 1)],
-        [is_starving],
-    ):  # on its way, or after a failed start
+        [starving, JobView(replica, 1)],
+        [starving],
+    ):  # the replica is pending, or backs off after a failed start
         views = [machine("m-0", (8.0, 0.0, 16.0))]
         current = Round(views, teams, {"t": [1.0, 0.0]}, reserved=[(replica, 1)])
         for _ in current.run(waiting):
@@ -430,7 +431,7 @@
             assert [s.count for s in current.plan.assignments if s.job == "j-1"] == [1]
 
 
-def test_a_replica_moves_once_room_for_it_is_booked() -> None:
+def test_a_replica_moves_once_capacity_is_reserved_for_it() -> None:
     replicas = spec(tasks=2, daemon=True, priority=0, spread=True)
     moving = [MovingReplica(0, "a")]
     views = [machine(f"m-{i}", (1.0, 0.0, 8.0), zone="ab"[i % 2]) for i in range(3)]
@@ -442,26 +443,26 @@
         [("j-1", 0, "m-2")],
     )
     assert plan.assignments == plan.stops == []
-    # No room: it stays where it is, and room is asked for.
+    # No capacity: it stays where it is, and counts as unplaced.
     job = JobView(replicas, 0, running_zones={"a": 1, "b": 1}, moving=moving)
     plan = make_plan([job], [views[1]], TEAMS, {})
     assert plan.moves == [] and [count for _, count in plan.unplaced] == [1]
-    # Work of lower priority makes way, and the replica still runs.
+    # Work of lower priority is preempted, and the replica still runs.
     job = JobView(spec(tasks=1, daemon=True, priority=0), 0, moving=moving)
     plan = make_plan([job], [full(2)], TEAMS, {})
     assert (plan.moves, plan.stops) == ([], [("j-9", 0)])
-    # Gone from its old machine, it starts in the booked room, which no view shows as free.
-    booked = machine("m-0", (1.0, 0.0, 8.0))
-    booked.free = [0.0, 0.0, 7.0]
+    # Gone from its old machine, it starts on the reserved capacity, which no view shows as free.
+    reserved = machine("m-0", (1.0, 0.0, 8.0))
+    reserved.free = [0.0, 0.0, 7.0]
     job = JobView(spec(tasks=1, daemon=True, priority=0), 1, reservations={"m-0": 1})
-    assert [s.machine for s in make_plan([job], [booked], TEAMS, {}).assignments] == ["m-0"]
-    # As long as its limit is in the way, the room stays booked.
-    booked = machine("m-0", (1.0, 0.0, 8.0))
-    booked.free = [0.0, 0.0, 7.0]
+    assert [s.machine for s in make_plan([job], [reserved], TEAMS, {}).assignments] == ["m-0"]
+    # As long as its limit does not allow it, the capacity stays reserved.
+    reserved = machine("m-0", (1.0, 0.0, 8.0))
+    reserved.free = [0.0, 0.0, 7.0]
     job = JobView(spec(tasks=1, daemon=True, priority=0), 1, reservations={"m-0": 1})
     other = JobView(spec(id="j-2", team="u", ram=0.5), 1)
     teams = {"t": Team("t", cpus_max=1.0), "u": Team("u")}
-    assert make_plan([job, other], [booked], teams, {"t": [1.0, 0.0]}).assignments == []
+    assert make_plan([job, other], [reserved], teams, {"t": [1.0, 0.0]}).assignments == []
 
 
 def test_replicas_of_different_jobs_share_a_machine_only_up_to_a_few() -> None:
@@ -475,6 +476,6 @@
     ]
     plan = make_plan(jobs, [full_of_them, few, empty], TEAMS, {})
     assert [start.machine for start in plan.assignments] == ["m-1", "m-2"]
-    # Where there is no other room, they share.
+    # Where there is no other capacity, they share.
     plan = make_plan([JobView(jobs[0].spec, 1)], [full_of_them], TEAMS, {})
     assert [start.machine for start in plan.assignments] == ["m-0"]
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -62,10 +62,10 @@
                 cluster.jobs[job_id] = Job(spec(id=job_id))
                 short.append(job_id)
                 assignments.append(Assignment(job_id, "m-000001", 1))
-            pieces = rounds.write(assignments, now)
+            parts = rounds.write(assignments, now)
             await settle()
             largest = max(largest, *(json_size(item.value) for item in items(store)))
-            assert all(piece.stored.done() for piece in pieces)
+            assert all(part.stored.done() for part in parts)
             for job_id in short:
                 cluster.release(cluster.jobs[job_id].attempts[0], now + 30.0)
                 del cluster.jobs[job_id]
@@ -89,7 +89,7 @@
     asyncio.run(run())
 
 
-def test_a_record_that_was_dropped_is_not_written_anew_by_its_compaction() -> None:
+def test_a_deleted_record_is_not_created_anew_by_its_compaction() -> None:
     async def run() -> None:
         store: Any = FakeStore()
         writer = Writer(store, SMALLEST, lead(), lambda: True, lambda: None)
@@ -98,16 +98,16 @@
         rounds = RoundRecords(cluster, writer)
         cluster.machine("m-000001", "", "", False, MachinePhase.UP, 0.0)
         job = cluster.jobs["j-1"] = Job(spec(id="j-1", tasks=8))
-        (piece,) = rounds.write([Assignment("j-1", "m-000001", 8)], 0.0)
+        (part,) = rounds.write([Assignment("j-1", "m-000001", 8)], 0.0)
         await settle()
-        for attempt in piece.attempts[1:]:
+        for attempt in part.attempts[1:]:
             cluster.release(attempt, 1.0)
-        compaction = rounds._compacted(piece.key, 100.0)
+        compaction = rounds._compacted(part.key, 100.0)
         assert compaction is not None
         cluster.release(job.attempts[0], 101.0)
         await settle()
         assert items(store) == []
-        writer.queue.append(compaction)  # made before the drop, written after it
+        writer.queue.append(compaction)  # made before the deletion, committed after it
         writer.wake.set()
         await settle()
         assert compaction.done.exception() is not None
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("refused", [0, 1, 2])
 def test_a_gang_over_several_records_starts_once_all_are_stored_or_not_at_all(refused: int) -> None:
-    """If one of them could not be stored, the rest of the gang started, or was booked for ever."""
+    """If one of them could not be stored, the rest started, or held capacity for ever."""
 
     async def run() -> None:
         workers = new_workers(asyncio.get_running_loop().time())
@@ -156,7 +156,7 @@
         assert len(written) >= 3
         for at, stored in enumerate(written):
             gang = jobs["j-2"].attempts.values()
-            assert {a.phase for a in gang} == {AttemptPhase.PLANNED}  # not before all stand
+            assert {a.phase for a in gang} == {AttemptPhase.PLANNED}  # not before all are stored
             if at == refused:
                 stored.set_exception(InvalidTransactionError("too large"))
             else:
