--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -121,27 +121,11 @@
     ) -> list[MachineCapacity] | None:
         """Where the tasks would fit, at the least cost to those that would be preempted."""
         spec = job.spec
-        prefer_spot = self.pool.prefer_spot
         best: list[MachineCapacity] | None = None
         best_cost = 0.0
         for zone in self.pool.zones(spec):
-            options = []
-            for machine in self.pool.usable(job, zone) if only is None else only:
-                if zone is not None and machine.zone != zone:
-                    continue
-                found = capacity_with_victims(
-                    machine, spec, wanted, lambda v: self.may_preempt(v, job)
-                )
-                if found.count:
-                    options.append(found)
-            options.sort(
-                key=lambda found: (
-                    found.machine.gpus,
-                    prefer_spot and not found.machine.spot,
-                    found.cost / found.count,
-                    found.machine.name,
-                )
-            )
+            machines = self.pool.usable(job, zone) if only is None else only
+            options = self._options(job, wanted, zone, machines)
             chosen: list[MachineCapacity] = []
             left, total = wanted, 0.0
             for found in options:
@@ -156,6 +140,31 @@
                 best, best_cost = chosen, total
         return best
 
+    def _options(
+        self, job: JobView, wanted: int, zone: str | None, machines: list[MachineView]
+    ) -> list[MachineCapacity]:
+        """The machines of the zone, or of all, on which a task would fit: first those with the
+        least that is scarce, then those with the least cost of preemption for each task."""
+        options = []
+        for machine in machines:
+            if zone is not None and machine.zone != zone:
+                continue
+            found = capacity_with_victims(
+                machine, job.spec, wanted, lambda victim: self.may_preempt(victim, job)
+            )
+            if found.count:
+                options.append(found)
+        prefer_spot = self.pool.prefer_spot
+        options.sort(
+            key=lambda found: (
+                found.machine.gpus,
+                prefer_spot and not found.machine.spot,
+                found.cost / found.count,
+                found.machine.name,
+            )
+        )
+        return options
+
     def _hold_machines(self, job: JobView) -> None:
         """Nothing may be preempted: hold the machines that are free soonest for the gang."""
         spec = job.spec
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -119,7 +119,7 @@
         self.compaction = compaction or writer  # compacts and deletes records
         self._number = 0
         self._sizes: dict[str, RecordSize] = {}
-        cluster.on_round_finished = self.drop
+        cluster.on_round_finished = self.delete
 
     def load(self, items: list[KeyValue], now: float) -> None:
         """After a failover: allocate all attempts that may still exist."""
@@ -132,7 +132,7 @@
                 self._adopt(entry, item.key, now)
         for item in items:
             if item.key not in self.cluster.rounds:
-                self.drop(item.key)
+                self.delete(item.key)
 
     def _adopt(self, entry: RoundEntry, key: str, now: float) -> None:
         """Allocate the attempts of a record that was read."""
@@ -183,7 +183,7 @@
             for task in Ranges(entry.tasks)
         ]
 
-    def drop(self, key: str) -> None:
+    def delete(self, key: str) -> None:
         """Delete the record: none of its attempts can exist any more."""
         self._sizes.pop(key, None)
         if key in self.writer.versions:
@@ -198,9 +198,9 @@
                 and now - size.since > constants.ROUND_COMPACT_S
                 and size.attempts >= constants.ROUND_COMPACT_FACTOR * len(attempts)
             ):
-                self.compaction.defer(f"compact {key}", partial(self._compacted, key, now))
+                self.compaction.defer(f"compact {key}", partial(self.compaction_of, key, now))
 
-    def _compacted(self, key: str, now: float) -> Mutation | None:
+    def compaction_of(self, key: str, now: float) -> Mutation | None:
         """The write that compacts the record as it is then; None if there is no need any more."""
         attempts = list(self.cluster.rounds.get(key, ()))
         if not attempts or key not in self.writer.versions:
--- a/peathall/placement/starter.py
+++ b/peathall/placement/starter.py
@@ -127,7 +127,7 @@
                 deferrable = not spec.gang and spec.id not in within_quota
                 to_push[attempt.machine] = deferrable and to_push.get(attempt.machine, True)
         if part.key not in self.cluster.rounds:
-            self.rounds.drop(part.key)
+            self.rounds.delete(part.key)
         for name, deferrable in to_push.items():
             machine = self.cluster.machines.get(name)
             if machine is not None:
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -102,7 +102,7 @@
         await settle()
         for attempt in part.attempts[1:]:
             cluster.release(attempt, 1.0)
-        compaction = rounds._compacted(part.key, 100.0)
+        compaction = rounds.compaction_of(part.key, 100.0)
         assert compaction is not None
         cluster.release(job.attempts[0], 101.0)
         await settle()
