--- a/peathall/placement/capacity.py
+++ b/peathall/placement/capacity.py
@@ -40,7 +40,9 @@
         frees_needed_kind = (victim.cpus and spec.cpus) or (victim.gpus and spec.gpus) or victim.ram
         if not frees_needed_kind:
             continue
-        _add(available, victim)
+        available[0] += victim.cpus
+        available[1] += victim.gpus
+        available[2] += victim.ram
         victims.append(victim)
         fitting = min(fits_in(available, spec), wanted)
         if fitting > count:
@@ -60,17 +62,13 @@
     for victim in machine.detail().by_expected_end:
         if fits_in(available, spec):
             break
-        _add(available, victim)
+        available[0] += victim.cpus
+        available[1] += victim.gpus
+        available[2] += victim.ram
         wait_s = victim.ends_in_s
     return wait_s, min(spec.tasks, fits_in(available, spec))
 
 
-def _add(available: list[float], victim: Victim) -> None:
-    available[0] += victim.cpus
-    available[1] += victim.gpus
-    available[2] += victim.ram
-
-
 def pack_gang(spec: JobSpec, machines: list[MachineView]) -> list[tuple[MachineView, int]] | None:
     """Machines for all tasks of a gang and how many go to each, where `machines` are in order of
     preference; None if not all of them fit."""
--- a/peathall/placement/machine_views.py
+++ b/peathall/placement/machine_views.py
@@ -72,11 +72,11 @@
             machine.spot,
             (machine.cpus, machine.gpus, machine.ram),
             free,
-            images=machine.images,
-            missed_intervals=int(silent_s / self.heartbeat_s),
-            load_detail=lambda: self._detail(machine),
-            task_slots=max(0, constants.MACHINE_TASKS - self.workers.reported_task_count(machine)),
-            replicas=machine.replicas,
+            machine.images,
+            int(silent_s / self.heartbeat_s),
+            lambda: self._detail(machine),
+            max(0, constants.MACHINE_TASKS - self.workers.reported_task_count(machine)),
+            machine.replicas,
         )
 
     def _detail(self, machine: Machine) -> MachineDetail:
--- a/peathall/placement/planned_stops.py
+++ b/peathall/placement/planned_stops.py
@@ -13,7 +13,7 @@
     def __init__(self, pool: MachinePool, plan: Plan) -> None:
         self._pool = pool
         self._plan = plan
-        self.keys: set[TaskKey] = set()  # a plain set: looked up for every victim considered
+        self.keys: set[tuple[str, int]] = set()  # of what is preempted; a set for fast lookup
         self._freed: dict[str, list[float]] = {}  # team -> CPUs and GPUs
 
     def add(self, victim: Victim) -> None:
@@ -22,7 +22,7 @@
         if victim.key in self.keys:
             return
         self.keys.add(victim.key)
-        self._plan.stops.append(victim.key)
+        self._plan.stops.append(TaskKey(*victim.key))
         freed = self._freed.setdefault(victim.team, [0.0, 0.0])
         freed[0] += victim.cpus
         freed[1] += victim.gpus
--- a/peathall/placement/victims.py
+++ b/peathall/placement/victims.py
@@ -9,7 +9,6 @@
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
 from peathall.placement.context import RoundContext
-from peathall.placement.plan import TaskKey
 from peathall.placement.views import TeamWork, Victim
 
 
@@ -66,15 +65,11 @@
             lost_s += constants.STABLE_START_S  # its start would not count any more
         share = max(spec.cpus / machine.cpus, spec.gpus / max(machine.gpus, 1.0))
         return Victim(
-            key=TaskKey(spec.id, attempt.task),
-            cpus=spec.cpus,
-            gpus=spec.gpus,
-            ram=spec.ram,
-            machine=machine.name,
-            priority=spec.priority,
-            team=spec.team,
-            within_quota=spec.id in self.context.within_quota,
-            lost_machine_s=(lost_s + constants.RESTART_S) * share,
-            ends_in_s=max(1.0, spec.expected_s - ran_s),
-            borrowed=attempt.job.borrowed,
+            spec,
+            attempt.task,
+            machine.name,
+            spec.id in self.context.within_quota,
+            (lost_s + constants.RESTART_S) * share,
+            max(1.0, spec.expected_s - ran_s),
+            attempt.job.borrowed,
         )
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -16,25 +16,51 @@
 from peathall.placement.plan import Assignment as Assignment
 from peathall.placement.plan import Move as Move
 from peathall.placement.plan import Plan as Plan
-from peathall.placement.plan import TaskKey
 from peathall.protocol.jobs import JobSpec
 
 
-@dataclass(slots=True, kw_only=True, eq=False)
 class Victim:
-    """An attempt that could be preempted."""
+    """An attempt that could be preempted.
 
-    key: TaskKey
-    cpus: float
-    gpus: float
-    ram: float  # GB
-    machine: str
-    priority: int
-    team: str
-    within_quota: bool  # its job is within its own team's quota
-    lost_machine_s: float  # machine seconds that preempting it would lose
-    ends_in_s: float = 0.0  # until it should end by itself, by its owner's estimate
-    borrowed: bool = False  # its job is another cell's
+    One is made for each attempt that a round considers, so its parts are copied from the job's
+    specification once, and `key` is a plain tuple: a named one takes much longer to make.
+    """
+
+    __slots__ = (
+        "borrowed",
+        "cpus",
+        "ends_in_s",
+        "gpus",
+        "key",
+        "lost_machine_s",
+        "machine",
+        "priority",
+        "ram",
+        "team",
+        "within_quota",
+    )
+
+    def __init__(
+        self,
+        spec: JobSpec,
+        task: int,
+        machine: str,
+        within_quota: bool,
+        lost_machine_s: float,
+        ends_in_s: float,
+        borrowed: bool = False,
+    ) -> None:
+        self.key = (spec.id, task)  # becomes a TaskKey in the plan
+        self.cpus = spec.cpus
+        self.gpus = spec.gpus
+        self.ram = spec.ram
+        self.priority = spec.priority
+        self.team = spec.team
+        self.machine = machine
+        self.within_quota = within_quota  # its job is within its own team's quota
+        self.lost_machine_s = lost_machine_s  # machine seconds that preempting it would lose
+        self.ends_in_s = ends_in_s  # until it should end by itself, by its owner's estimate
+        self.borrowed = borrowed  # its job is another cell's
 
 
 class MachineDetail:
@@ -106,7 +132,6 @@
         spot: bool,
         size: tuple[float, float, float],
         free: tuple[float, float, float],
-        *,
         images: Container[str] = (),
         missed_intervals: int = 0,
         load_detail: Callable[[], MachineDetail] = MachineDetail,
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -15,10 +15,10 @@
 from peathall.cells.spill import Backoff, SpillRule, expected_wait_s
 from peathall.config.platform import Objective
 from peathall.leadership.lease import LeaderLease
-from peathall.placement.plan import TaskKey
 from peathall.placement.views import JobView, MachineDetail, MachineView, Victim
 from peathall.protocol.jobs import JobSpec, decode_submission
 from tests.sim.cells_world import gang
+from tests.unit.test_planner import spec as planner_spec
 
 
 def spec(number: int = 1, **change: object) -> JobSpec:
@@ -30,16 +30,12 @@
     def detail() -> MachineDetail:
         victims = [
             Victim(
-                key=TaskKey(f"j-{i}", 0),
-                cpus=2.0,
-                gpus=3.0,
-                ram=4.0,
-                priority=1,
-                team="blue",
+                planner_spec(id=f"j-{i}", cpus=2.0, gpus=3.0, ram=4.0, priority=1, team="blue"),
+                0,
+                name,
                 within_quota=False,
                 lost_machine_s=0.0,
                 ends_in_s=end,
-                machine=name,
             )
             for i, end in enumerate(ends)
         ]
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -8,7 +8,7 @@
 from peathall.autoscaling.scale_out import Bin, MachineOffer, plan_scale_out
 from peathall.config.platform import Objective, Team
 from peathall.placement.ordering import latest_start
-from peathall.placement.plan import Plan, TaskKey
+from peathall.placement.plan import Plan
 from peathall.placement.planner import Round, make_plan
 from peathall.placement.pool import MachinePool
 from peathall.placement.views import (
@@ -178,10 +178,8 @@
 
 
 def victim(name: str, priority: int, team: str = "u", guaranteed: bool = False) -> Victim:
-    return Victim(
-        key=TaskKey(name, 0), cpus=4.0, gpus=0.0, ram=8.0, priority=priority, team=team,
-        within_quota=guaranteed, lost_machine_s=1.0, ends_in_s=60.0, machine="m-0",
-    )  # fmt: skip
+    job = spec(id=name, cpus=4.0, gpus=0.0, ram=8.0, priority=priority, team=team)
+    return Victim(job, 0, "m-0", within_quota=guaranteed, lost_machine_s=1.0, ends_in_s=60.0)
 
 
 def full(priority: int, **more: object) -> MachineView:
@@ -216,10 +214,8 @@
     small = JobView(spec(id="j-2", tasks=4, estimate_s=100.0), 4)
     brief = JobView(spec(id="j-3", tasks=1, estimate_s=5.0), 1)
     view = full(1)
-    half = Victim(
-        key=TaskKey("j-9", 0), cpus=2.0, gpus=0.0, ram=4.0, priority=1, team="u",
-        within_quota=False, lost_machine_s=1.0, ends_in_s=30.0, machine="m-0",
-    )  # fmt: skip
+    other = spec(id="j-9", cpus=2.0, gpus=0.0, ram=4.0, priority=1, team="u")
+    half = Victim(other, 0, "m-0", within_quota=False, lost_machine_s=1.0, ends_in_s=30.0)
     detail = MachineDetail(victims=[half])
     view.load_detail = lambda: detail
     view.free = [2.0, 0.0, 4.0]
@@ -343,10 +339,8 @@
 
 
 def own_victim(name: str, priority: int, gpus: float, at: str = "m-0", task: int = 0) -> Victim:
-    return Victim(
-        key=TaskKey(name, task), cpus=1.0, gpus=gpus, ram=1.0, priority=priority, team="t",
-        within_quota=False, lost_machine_s=gpus, ends_in_s=60.0, machine=at,
-    )  # fmt: skip
+    job = spec(id=name, cpus=1.0, gpus=gpus, ram=1.0, priority=priority, team="t")
+    return Victim(job, task, at, within_quota=False, lost_machine_s=gpus, ends_in_s=60.0)
 
 
 def at_the_limit(
