--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -18,6 +18,7 @@
 from peathall.placement.views import JobView, MachineDetail, MachineView, Victim
 from peathall.protocol.jobs import JobSpec, decode_submission
 from tests.sim.cells_world import gang
+from tests.unit.test_planner import spec as planner_spec
 
 
 def spec(number: int = 1, **change: object) -> JobSpec:
@@ -28,13 +29,20 @@
 def machine(name: str, zone: str, gpus: float, ends: tuple[float, ...] = ()) -> MachineView:
     def detail() -> MachineDetail:
         victims = [
-            Victim((f"j-{i}", 0), (2.0, 3.0, 4.0), 1, "blue", False, 0.0, end, machine=name)
+            Victim(
+                planner_spec(id=f"j-{i}", cpus=2.0, gpus=3.0, ram=4.0, priority=1, team="blue"),
+                0,
+                name,
+                within_quota=False,
+                lost_machine_s=0.0,
+                ends_in_s=end,
+            )
             for i, end in enumerate(ends)
         ]
         return MachineDetail(victims=victims)
 
     size = (16.0, 4.0, 128.0)
-    return MachineView(name, "big", zone, True, size, (16.0, gpus, 128.0), detail=detail)
+    return MachineView(name, "big", zone, True, size, (16.0, gpus, 128.0), load_detail=detail)
 
 
 @pytest.mark.parametrize("way_s", [0.0, 0.4, 1.9])
