--- a/peathall/cluster/__init__.py
+++ b/peathall/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The state of the cluster in one term, shared by all slices: jobs, attempts, machines, use."""
+"""The state of the cluster in one leader term: jobs, attempts, machines and teams' usage."""
--- a/peathall/cluster/job.py
+++ b/peathall/cluster/job.py
@@ -1,4 +1,4 @@
-"""Jobs and attempts as the leader knows them."""
+"""Jobs and their attempts in one leader term."""
 
 from __future__ import annotations
 
@@ -7,41 +7,42 @@
 from enum import Enum, auto
 
 from peathall.cluster.ranges import Ranges
+from peathall.protocol.heartbeats import TaskStatus
 from peathall.protocol.jobs import JobSpec, JobStatus
 
 
 class JobPhase(Enum):
-    """From accepted to over."""
+    """Lifecycle of a job, from its acceptance to its final status."""
 
     ACTIVE = auto()  # accepted, with work left
-    CANCELLING = auto()  # its user wants it cancelled, which is being stored: nothing starts
+    CANCELLING = auto()  # the cancellation is being stored; no task starts
     CANCELLED = auto()  # cancellation stored; attempts may still be on machines
     DONE = auto()  # every task stored as done; attempts may still be on machines
 
 
 class JobHealth(Enum):
-    """Whether a job's failures are likely to be its own fault."""
+    """Whether a job's failures are likely to be caused by the job itself."""
 
-    UNKNOWN = auto()  # nothing of it has gone well yet, nor failed in several places
-    HEALTHY = auto()  # it has gone well somewhere
-    FAILING = auto()  # failed in several places, went well in none: perhaps a mistake in it
+    UNKNOWN = auto()  # no task has succeeded yet, nor failed on several machines
+    HEALTHY = auto()  # a task of it has succeeded, or run for long enough
+    FAILING = auto()  # failed on several machines and succeeded on none
 
 
 class AttemptPhase(Enum):
-    """From booked to proven gone."""
+    """Lifecycle of an attempt, from its reservation to the proof that it has ended."""
 
-    PLANNED = auto()  # room is taken, the intent is not stored yet
-    INTENDED = auto()  # stored; the start may go out
-    SENT = auto()  # a start order went out, or may have gone out in an earlier term
-    FETCHING = auto()
-    WAITING = auto()  # gang task waiting for the others
-    RUNNING = auto()
-    CHECKPOINTING = auto()
-    GONE = auto()  # surely not on the machine; its room is free
+    PLANNED = auto()  # capacity is allocated, the round is not stored yet
+    INTENDED = auto()  # the round is stored; the start command may be sent
+    SENT = auto()  # a start command was sent, or may have been in an earlier term
+    FETCHING = auto()  # its machine fetches the image
+    WAITING = auto()  # gang task that waits for the other tasks of its gang
+    RUNNING = auto()  # its process runs
+    CHECKPOINTING = auto()  # it saves its progress before it stops
+    GONE = auto()  # proven not to be on its machine; its capacity is free
 
 
 class Attempt:
-    """One start of one task on one machine. It takes room until it is GONE."""
+    """One start of one task on one machine. Its capacity is allocated until it is GONE."""
 
     __slots__ = (
         "epoch",
@@ -64,26 +65,26 @@
         self.machine = machine
         self.round_key = round_key
         self.phase = AttemptPhase.PLANNED
-        self.stopping = False
-        self.grace_s = 0.0
-        self.epoch = 0  # the worker's session in which it was sent or seen; 0: not known
-        self.since = 0.0
-        self.last_status: object = None  # what its machine last reported of it
+        self.stopping = False  # a stop command is due with every answer until it is gone
+        self.grace_s = 0.0  # s; time to checkpoint that the stop command gives it
+        self.epoch = 0  # epoch of the worker when it was sent or last seen; 0: not known
+        self.since = 0.0  # steady time at which it entered its phase
+        self.last_status: TaskStatus | None = None  # from the latest heartbeat that shows it
 
     def enter(self, phase: AttemptPhase, now: float) -> None:
-        """The one way to change the phase; GONE is never left."""
+        """Change the phase, if it is not GONE yet."""
         if phase is not self.phase and self.phase is not AttemptPhase.GONE:
             self.phase = phase
             self.since = now
 
     @property
     def running(self) -> bool:
-        """Its machine reports it as running."""
+        """Whether its machine reports it as running."""
         return self.phase is AttemptPhase.RUNNING
 
     @property
     def is_leaving(self) -> bool:
-        """Its room will be free before long: it is being stopped, or its job is over."""
+        """Whether its capacity becomes free soon: it is being stopped, or its job has ended."""
         return self.stopping or self.job.phase is not JobPhase.ACTIVE
 
 
@@ -119,33 +120,35 @@
 
     def __init__(self, spec: JobSpec, now: float = 0.0) -> None:
         self.spec = spec
-        self.on_hold = False  # nothing of it may start here: another cell may run it, or its lease
-        # on this one has ended
-        self.start_deadline = math.inf  # steady time from which no start order of it may leave
-        self.borrowed = False  # another cell's users submitted it there
-        self.running_remotely = 0  # tasks that run in another cell, as it last told
-        self.started_late = False  # it was started only once it had aged
+        # No task may start in this cell: another cell may run the job, or the handoff lease on
+        # which this cell runs it has expired.
+        self.on_hold = False
+        self.start_deadline = math.inf  # steady time from which no start command may be sent
+        self.borrowed = False  # it was submitted to another cell, and runs in this one
+        self.running_remotely = 0  # running tasks in another cell, as that cell last reported
+        self.started_late = False  # it was started only after it had aged
         self.has_started = False  # a task of it has run, as far as is known
-        self.idle_since = now  # steady time since which none of its tasks has a place
+        self.idle_since = now  # steady time since which none of its tasks has an attempt
         self.phase = JobPhase.ACTIVE
-        self.done = Ranges()  # reported done, perhaps not stored yet
-        self.done_keys: set[str] = set()  # of the records of done tasks
-        self.stored_done = Ranges()  # those of them that are in the state service
-        self.pending = Ranges([(0, spec.tasks)])  # neither done nor attempted
-        self.attempts: dict[int, Attempt] = {}
+        self.done = Ranges()  # tasks reported as done, perhaps not stored yet
+        self.done_keys: set[str] = set()  # keys of the records of done tasks
+        self.stored_done = Ranges()  # done tasks whose record is in the state service
+        self.pending = Ranges([(0, spec.tasks)])  # tasks that are neither done nor have an attempt
+        self.attempts: dict[int, Attempt] = {}  # by task
         self.health = JobHealth.UNKNOWN
-        self.failed_on: dict[str, float] = {}  # machines on which it failed, and when, in order
-        self.longest_failed_run_s = 0.0  # seconds for which its tasks ran at most until they failed
-        self.consecutive_failures = 0  # starts that failed since it was last known to go well
-        self.last_failed_attempt = 0  # the latest of them
-        self.backoff_until = 0.0
-        self.record_key = ""  # key of the record that holds it
-        self.final_record_key = ""  # key of the record that holds its final state
-        self.write_pending = False  # done ranges are on their way to the store
-        self.finalizing: asyncio.Future[str] | None = None  # its final state is on its way there
+        # Machine -> steady time of the latest failure of the job there, the latest last.
+        self.failed_on: dict[str, float] = {}
+        self.longest_failed_run_s = 0.0  # s; the longest time that a task ran before it failed
+        self.consecutive_failures = 0  # failed starts since it last was healthy
+        self.last_failed_attempt = 0  # attempt number of the latest failure
+        self.backoff_until = 0.0  # steady time before which no task is placed
+        self.record_key = ""  # key of its record in the state service
+        self.final_record_key = ""  # key of the record with its final status
+        self.write_pending = False  # a write of its done tasks is in progress
+        self.finalizing: asyncio.Future[str] | None = None  # the write of its final status
 
     def enter(self, phase: JobPhase) -> None:
-        """A final phase is never left; what is being cancelled is only cancelled."""
+        """Change the phase. A final phase is never left; CANCELLING leads only to CANCELLED."""
         if self.phase is JobPhase.ACTIVE or (
             self.phase is JobPhase.CANCELLING and phase is JobPhase.CANCELLED
         ):
@@ -153,16 +156,16 @@
 
     @property
     def is_final(self) -> bool:
-        """Its final state is stored."""
+        """Whether its final status is stored."""
         return self.phase in (JobPhase.CANCELLED, JobPhase.DONE)
 
     def set_health(self, health: JobHealth) -> None:
-        """The one way to change the trust."""
+        """Change whether the job is considered healthy."""
         self.health = health
 
     @property
     def status(self) -> JobStatus:
-        """What its user is told."""
+        """The status in answers to its user."""
         if self.phase is JobPhase.DONE:
             return JobStatus.DONE
         if self.phase is JobPhase.CANCELLED:
@@ -171,12 +174,12 @@
 
     @property
     def running(self) -> int:
-        """How many of its tasks run."""
+        """Number of its tasks that run, in this cell and in another."""
         here = sum(1 for attempt in self.attempts.values() if attempt.running)
         return here + self.running_remotely
 
     def mark_done(self, task: int) -> bool:
-        """True if this is news."""
+        """Record that the task is done; False if it was done already or does not exist."""
         if task in self.done or not 0 <= task < self.spec.tasks:
             return False
         self.done.add(task)
@@ -184,11 +187,11 @@
         return True
 
     def mark_all_done(self) -> None:
-        """Every task counts as done."""
+        """Record that every task is done."""
         self.done.add(0, self.spec.tasks)
         self.pending = Ranges()
 
     def requeue(self, task: int) -> None:
-        """An attempt of the task is gone: unless it is done, it waits again."""
+        """Return the task to the pending ones after its attempt has gone, unless it is done."""
         if task not in self.done:
             self.pending.add(task)
--- a/peathall/cluster/machine.py
+++ b/peathall/cluster/machine.py
@@ -1,4 +1,4 @@
-"""Machines as the leader knows them."""
+"""Machines in one leader term: phases, capacity, and the state of their workers."""
 
 from __future__ import annotations
 
@@ -9,20 +9,30 @@
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec
 
+PHASES_BEFORE_IMAGE = (
+    AttemptPhase.PLANNED,
+    AttemptPhase.INTENDED,
+    AttemptPhase.SENT,
+    AttemptPhase.FETCHING,
+)
+
 
 class MachinePhase(Enum):
-    """From rented to gone."""
+    """Lifecycle of a machine, from its provisioning to its deletion."""
 
-    STARTING = auto()  # rented or listed, its worker has not reported yet
-    RECOVERED = auto()  # known from an earlier term's records, not heard in this one
-    UP = auto()  # its worker reports to us
-    DRAINING = auto()  # takes no new work: sick, to be taken back, or to be returned
-    DELETING = auto()  # its deletion was asked for; it may still run tasks
+    STARTING = auto()  # provisioned or listed by the cloud; no heartbeat yet
+    RECOVERED = auto()  # known from records of an earlier term; no heartbeat in this one
+    UP = auto()  # its worker sends heartbeats to this leader
+    DRAINING = auto()  # takes no new work: unhealthy, reclaimed by the cloud, or to be scaled in
+    DELETING = auto()  # its deletion was requested; it may still run tasks
     GONE = auto()  # deleted, or failed and listed as such
 
 
 class Machine:
-    """A machine, its room, and what is known of its worker."""
+    """A machine, its capacity, and what is known of its worker.
+
+    CPUs and GPUs are counted, memory is in GB; all times are steady times in seconds.
+    """
 
     __slots__ = (
         "addr",
@@ -41,8 +51,9 @@
         "idle_since",
         "images",
         "last_heard",
-        "last_order",
-        "last_response",
+        "last_received",
+        "last_response_at",
+        "last_response_token",
         "last_success_at",
         "lease_renewed_at",
         "listed_at",
@@ -66,33 +77,41 @@
         self.zone = zone
         self.spot = spot
         self.phase = phase
-        self.addr = ""
-        self.cpus = self.gpus = self.ram = 0.0
+        self.addr = ""  # of its worker, for direct commands and probes; empty: not known
+        self.cpus = self.gpus = self.ram = 0.0  # capacity; 0 until its type is known
         self.free_cpus = self.free_gpus = self.free_ram = 0.0
+        # Epoch and sequence of the latest heartbeat that was applied, which may have come as the
+        # response to direct commands, ...
         self.epoch = 0
         self.sequence = -1
-        self.last_order = (0, -1)  # session and sequence number of its latest check-in
-        self.last_response = (0, 0.0)  # token and steady time of our latest answer
-        self.unacknowledged_since: float | None = None  # when we gave an answer that it did not get
-        self.confirmed = False  # has reported under this term's mandate
-        self.lease_renewed_at = 0.0  # steady time of our last answer, which renewed its lease
-        self.last_heard = 0.0
-        self.created_at = 0.0  # steady time of renting, or of first hearing of it
-        self.registered_at = 0.0  # steady time of its first report to us
-        self.listed_by_cloud = False  # the cloud has named it in this term
-        self.listed_at = 0.0  # steady time at which the cloud last listed it
-        self.reclaimed_at: float | None = None  # when the cloud takes it back
-        self.idle_since = 0.0
-        self.drain_reason = ""
-        self.attempts: dict[tuple[str, int], Attempt] = {}
-        self.images: OrderedDict[str, float] = OrderedDict()  # cached, as far as we can tell
-        self.failed_jobs: set[str] = set()  # jobs that failed here since the last success
-        self.failed_probes = 0  # without an answer, since it was last heard
-        self.replicas = 0  # of standing services, among its attempts
-        self.last_success_at = -1e9  # steady time at which a task last went well here
+        # ... and of the latest one that was received as a request.
+        self.last_received = (0, -1)
+        self.last_response_token = 0  # fencing token of the latest answer to a heartbeat
+        self.last_response_at = 0.0  # when that answer was given
+        self.unacknowledged_since: float | None = None  # time of the answer that it did not get
+        self.confirmed = False  # a heartbeat has shown a fencing token of this term
+        self.lease_renewed_at = 0.0  # when an answer last renewed the lease of its worker
+        self.last_heard = 0.0  # when its latest heartbeat was applied
+        self.created_at = 0.0  # when it was provisioned, or first known
+        self.registered_at = 0.0  # when its first heartbeat in this term came
+        self.listed_by_cloud = False  # the cloud has listed it in this term
+        self.listed_at = 0.0  # when the cloud last listed it
+        self.reclaimed_at: float | None = None  # when the cloud reclaims it
+        self.idle_since = 0.0  # since when it has had no attempts
+        self.drain_reason = ""  # for the log
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # by job and task
+        # Cached images, as far as is known -> GB; the least recently used first.
+        self.images: OrderedDict[str, float] = OrderedDict()
+        self.failed_jobs: set[str] = set()  # jobs that failed on it since the last success
+        self.failed_probes = 0  # unanswered liveness probes since its last heartbeat
+        self.replicas = 0  # attempts of daemon jobs among its attempts
+        self.last_success_at = -1e9  # when a task last succeeded on it
 
     def enter(self, phase: MachinePhase) -> bool:
-        """One way only: nothing leads back from GONE, nor from DELETING to use."""
+        """Change the phase; False if it is not changed.
+
+        No phase follows GONE, only GONE follows DELETING, and DRAINING does not lead back to UP.
+        """
         if self.phase is MachinePhase.GONE or phase is self.phase:
             return False
         if self.phase is MachinePhase.DELETING and phase is not MachinePhase.GONE:
@@ -104,21 +123,23 @@
 
     @property
     def is_schedulable(self) -> bool:
-        """Takes new work: known to get our orders. A report proves only that we hear it."""
+        """Whether it takes new work: its worker is up and known to receive this leader's answers.
+
+        A heartbeat alone does not show that: answers may be lost while heartbeats arrive.
+        """
         return (
             self.phase is MachinePhase.UP and self.confirmed and self.unacknowledged_since is None
         )
 
     def set_capacity(self, size: MachineType) -> None:
-        """Its type has become known."""
-        dc, dg, dr = size.cpus - self.cpus, size.gpus - self.gpus, size.ram - self.ram
+        """Set the capacity to that of its machine type, now that the type is known."""
+        self.free_cpus += size.cpus - self.cpus
+        self.free_gpus += size.gpus - self.gpus
+        self.free_ram += size.ram - self.ram
         self.cpus, self.gpus, self.ram = size.cpus, size.gpus, size.ram
-        self.free_cpus += dc
-        self.free_gpus += dg
-        self.free_ram += dr
 
     def allocate(self, attempt: Attempt) -> None:
-        """An attempt takes its room."""
+        """Take the capacity of a new attempt."""
         spec = attempt.job.spec
         self.attempts[(spec.id, attempt.task)] = attempt
         self.free_cpus -= spec.cpus
@@ -127,7 +148,7 @@
         self.replicas += spec.daemon
 
     def free(self, attempt: Attempt, now: float) -> None:
-        """An attempt is gone."""
+        """Return the capacity of an attempt that is gone."""
         spec = attempt.job.spec
         del self.attempts[(spec.id, attempt.task)]
         self.free_cpus += spec.cpus
@@ -136,11 +157,14 @@
         self.replicas -= spec.daemon
         if not self.attempts:
             self.idle_since = now
-            # Floating point dust must not keep a whole machine from a task.
+            # Rounding errors must not keep a task that needs a whole machine from an empty one.
             self.free_cpus, self.free_gpus, self.free_ram = self.cpus, self.gpus, self.ram
 
     def note_image(self, spec: JobSpec, cache_gb: float) -> bool:
-        """Most recently used images stay cached (protocol). True if this one is new."""
+        """Record that an image is cached; True if it was not before.
+
+        Workers evict the least recently used images beyond the size of the cache (protocol).
+        """
         new = spec.image not in self.images
         self.images[spec.image] = spec.image_gb
         self.images.move_to_end(spec.image)
@@ -149,10 +173,9 @@
         return new
 
     def fetching(self) -> set[str]:
-        """Images that are on their way here."""
-        early = (AttemptPhase.PLANNED, AttemptPhase.INTENDED, AttemptPhase.SENT)
+        """Images that its attempts fetch or are going to fetch."""
         return {
-            a.job.spec.image
-            for a in self.attempts.values()
-            if a.phase is AttemptPhase.FETCHING or a.phase in early
+            attempt.job.spec.image
+            for attempt in self.attempts.values()
+            if attempt.phase in PHASES_BEFORE_IMAGE
         }
--- a/peathall/cluster/ranges.py
+++ b/peathall/cluster/ranges.py
@@ -7,7 +7,10 @@
 
 
 class Ranges:
-    """A set of task numbers."""
+    """A set of task numbers.
+
+    `spans` are the ranges (low, high), without `high`, in order; no two of them touch.
+    """
 
     __slots__ = ("spans",)
 
@@ -27,45 +30,45 @@
             yield from range(low, high)
 
     def __contains__(self, number: int) -> bool:
-        at = bisect_right(self.spans, (number, float("inf"))) - 1
-        return at >= 0 and self.spans[at][0] <= number < self.spans[at][1]
+        index = bisect_right(self.spans, (number, float("inf"))) - 1
+        return index >= 0 and self.spans[index][0] <= number < self.spans[index][1]
 
     def add(self, low: int, high: int | None = None) -> None:
         """Add the numbers from `low` up to, not including, `high`."""
         high = low + 1 if high is None else high
         if low >= high:
             return
-        at = bisect_right(self.spans, (low, -1))
-        if at and self.spans[at - 1][1] >= low:
-            at -= 1
-            low = self.spans[at][0]
-        end = at
+        start = bisect_right(self.spans, (low, -1))
+        if start and self.spans[start - 1][1] >= low:
+            start -= 1
+            low = self.spans[start][0]
+        end = start
         while end < len(self.spans) and self.spans[end][0] <= high:
             high = max(high, self.spans[end][1])
             end += 1
-        self.spans[at:end] = [(low, high)]
+        self.spans[start:end] = [(low, high)]
 
     def remove(self, low: int, high: int | None = None) -> None:
-        """Take out the numbers from `low` up to, not including, `high`."""
+        """Remove the numbers from `low` up to, not including, `high`."""
         high = low + 1 if high is None else high
         if low >= high:
             return  # an empty range must not cut a span in two
         result = []
-        for a, b in self.spans:
-            if b <= low or a >= high:
-                result.append((a, b))
+        for span_low, span_high in self.spans:
+            if span_high <= low or span_low >= high:
+                result.append((span_low, span_high))
                 continue
-            if a < low:
-                result.append((a, low))
-            if b > high:
-                result.append((high, b))
+            if span_low < low:
+                result.append((span_low, low))
+            if span_high > high:
+                result.append((high, span_high))
         self.spans = result
 
     def first_outside(self, other: Ranges) -> int | None:
-        """The lowest number that `other` lacks."""
+        """The lowest number that is not in `other`; None if all are."""
         for low, high in self.spans:
-            at = bisect_right(other.spans, (low, float("inf"))) - 1
-            end = other.spans[at][1] if at >= 0 else low
+            index = bisect_right(other.spans, (low, float("inf"))) - 1
+            end = other.spans[index][1] if index >= 0 else low
             if end < high:
                 return max(low, end)
         return None
@@ -81,5 +84,5 @@
         return found
 
     def to_record(self) -> list[list[int]]:
-        """As lists of two numbers."""
+        """The ranges as lists of two numbers, as they are stored."""
         return [[low, high] for low, high in self.spans]
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -1,7 +1,8 @@
-"""What the leader knows in one term: jobs, machines, attempts, rounds, usage.
+"""The state of the cluster in one leader term: jobs, machines, attempts, rounds, usage.
 
-Rebuilt from records and reports in every term, and thrown away with it. Every
-attempt is booked and released here and nowhere else.
+It is rebuilt from records and heartbeats in every term, and dropped with it. The capacity of
+every attempt is allocated and released here and nowhere else, so machines, jobs, rounds and the
+teams' usage always agree.
 """
 
 from __future__ import annotations
@@ -20,30 +21,36 @@
 
 
 class ClusterState:
-    """Jobs, machines, attempts, rounds and the teams' use in one term."""
+    """Jobs, machines, attempts, rounds and the teams' usage in one term."""
 
     def __init__(self, term: int, first_attempt: int) -> None:
         self.term = term
         self.jobs: dict[str, Job] = {}
-        self.archived: dict[str, JobStatus] = {}
+        self.archived: dict[str, JobStatus] = {}  # the latest archived jobs
         self.machines: dict[str, Machine] = {}
-        self._deleted: OrderedDict[str, float] = OrderedDict()  # name -> when, the latest last
+        # Name of a deleted machine -> steady time of its deletion, the latest last.
+        self._deleted: OrderedDict[str, float] = OrderedDict()
         self.types: dict[str, MachineType] = {}
-        self.usage: dict[str, list[float]] = {}  # team -> cpus, gpus of all live attempts
-        # Round key -> its attempts that may still exist, in order.
+        self.usage: dict[str, list[float]] = {}  # team -> CPUs and GPUs of its attempts
+        # Round key -> its attempts that are not gone, in order (a dict for its order).
         self.rounds: dict[str, dict[Attempt, None]] = {}
-        self.next_attempt = first_attempt
+        self.next_attempt = first_attempt  # the latest attempt number given out
         self.last_submission_at = -1e9  # steady time at which the latest job became known
+        # Called with the key of a round when its last attempt is gone, ...
         self.on_round_finished: Callable[[str], None] = lambda key: None
+        # ... and after every release of capacity.
         self.on_capacity_freed: Callable[[], None] = lambda: None
 
     def new_attempt_number(self) -> int:
-        """One that no attempt has had, in this term or an earlier one."""
+        """A number that no attempt has had, in this term or an earlier one."""
         self.next_attempt += 1
         return self.next_attempt
 
     def note_archived(self, job_id: str, status: JobStatus) -> None:
-        """A job that is archived; the earliest are forgotten here, and read when asked for."""
+        """Remember the status of an archived job.
+
+        The earliest are dropped; a query for one of them reads the state service.
+        """
         self.archived[job_id] = status
         if len(self.archived) > constants.REMEMBERED_JOBS:
             del self.archived[next(iter(self.archived))]
@@ -51,7 +58,7 @@
     def machine(
         self, name: str, type_: str, zone: str, spot: bool, phase: MachinePhase, now: float
     ) -> Machine:
-        """The machine of this name, made known if it is new."""
+        """The machine of this name, added in this phase if it is not known."""
         found = self.machines.get(name)
         if found is None:
             found = Machine(name, type_, zone, spot, phase)
@@ -65,11 +72,11 @@
         return found
 
     def was_deleted(self, name: str) -> bool:
-        """Whether the machine of this name is gone, as far as is remembered."""
+        """Whether the machine of this name was deleted, as far as is remembered."""
         return name in self._deleted
 
     def note_deleted(self, name: str, now: float) -> None:
-        """Remember that the machine is gone for as long as late copies of its reports may come."""
+        """Remember a deletion for as long as delayed copies of heartbeats may arrive."""
         self._deleted[name] = now
         while now - next(iter(self._deleted.values())) > constants.DELETED_MEMORY_S:
             self._deleted.popitem(last=False)
@@ -77,31 +84,35 @@
     def allocate(
         self, job: Job, task: int, number: int, machine: Machine, round_key: str
     ) -> Attempt:
-        """Take the room of a new attempt, before anything is stored or sent."""
+        """Create an attempt and allocate its capacity, before anything is stored or sent."""
         attempt = Attempt(job, task, number, machine.name, round_key)
         job.attempts[task] = attempt
         job.pending.remove(task)
         machine.allocate(attempt)
-        use = self.usage.setdefault(job.spec.team, [0.0, 0.0])
-        use[0] += job.spec.cpus
-        use[1] += job.spec.gpus
+        usage = self.usage.setdefault(job.spec.team, [0.0, 0.0])
+        usage[0] += job.spec.cpus
+        usage[1] += job.spec.gpus
         self.rounds.setdefault(round_key, {})[attempt] = None
         return attempt
 
     def allocate_remote(self, spec: JobSpec) -> None:
-        """All of the job may run in another cell: its team's limit counts it here as well."""
-        use = self.usage.setdefault(spec.team, [0.0, 0.0])
-        use[0] += spec.cpus * spec.tasks
-        use[1] += spec.gpus * spec.tasks
+        """Count all tasks of the job, which may run in another cell, in its team's usage."""
+        usage = self.usage.setdefault(spec.team, [0.0, 0.0])
+        usage[0] += spec.cpus * spec.tasks
+        usage[1] += spec.gpus * spec.tasks
 
     def release_remote(self, spec: JobSpec) -> None:
-        """Nothing of the job is in another cell any more."""
-        use = self.usage[spec.team]
-        use[0] -= spec.cpus * spec.tasks
-        use[1] -= spec.gpus * spec.tasks
+        """Undo `allocate_remote`: no task of the job can be in another cell any more."""
+        usage = self.usage[spec.team]
+        usage[0] -= spec.cpus * spec.tasks
+        usage[1] -= spec.gpus * spec.tasks
 
     def release(self, attempt: Attempt, now: float) -> None:
-        """The attempt is surely not on its machine, nor will it ever be."""
+        """Release the capacity of an attempt that is proven to have ended.
+
+        It is not on its machine and cannot start there later. Its task is pending again, unless
+        it is done.
+        """
         if attempt.phase is AttemptPhase.GONE:
             return
         attempt.enter(AttemptPhase.GONE, now)
@@ -110,10 +121,11 @@
         del job.attempts[attempt.task]
         job.requeue(attempt.task)
         if job.has_started and not job.attempts:
-            job.idle_since = now  # a start that came to nothing has ended no wait
-        use = self.usage[job.spec.team]
-        use[0] -= job.spec.cpus
-        use[1] -= job.spec.gpus
+            # Not before it has run: a start that came to nothing does not end the waiting time.
+            job.idle_since = now
+        usage = self.usage[job.spec.team]
+        usage[0] -= job.spec.cpus
+        usage[1] -= job.spec.gpus
         del self.rounds[attempt.round_key][attempt]
         if not self.rounds[attempt.round_key]:
             del self.rounds[attempt.round_key]
@@ -121,15 +133,15 @@
         self.on_capacity_freed()
 
     def remove_machine(self, machine: Machine, now: float, why: str) -> list[Attempt]:
-        """The machine and all that was on it are gone; its attempts are released."""
+        """Remove a machine that is gone, and release its attempts; these are returned."""
         machine.enter(MachinePhase.GONE)
         lost = self.release_all(machine, now)
         self.machines.pop(machine.name, None)
-        log.info("machine %s is gone (%s), %d tasks lost", machine.name, why, len(lost))
+        log.info("machine %s removed, %d tasks lost: %s", machine.name, len(lost), why)
         return lost
 
     def release_all(self, machine: Machine, now: float) -> list[Attempt]:
-        """Everything on the machine is surely gone; what was there."""
+        """Release all attempts of a machine on which nothing runs any more; these are returned."""
         lost = list(machine.attempts.values())
         for attempt in lost:
             self.release(attempt, now)
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -94,7 +94,7 @@
         """Tells of a machine whether it has lately sent another controller a report newer
         than all we had. A late copy of an old report is no sign of life."""
         elsewhere = self.elsewhere()
-        return lambda machine: elsewhere.get(machine.name, (0, -1)) > machine.last_order
+        return lambda machine: elsewhere.get(machine.name, (0, -1)) > machine.last_received
 
     def expected(self) -> list[Machine]:
         """Machines that should report to us, known from reports or only from records."""
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -94,18 +94,18 @@
             # A late copy from a machine that no longer exists.
             return 503, None
         known = self.cluster.machines.get(heartbeat.machine)
-        order = (heartbeat.epoch, heartbeat.sequence)
-        if known is not None and (order <= known.last_order or heartbeat.epoch < known.epoch):
+        position = (heartbeat.epoch, heartbeat.sequence)
+        if known is not None and (position <= known.last_received or heartbeat.epoch < known.epoch):
             # A copy, or of an ended session: it says nothing, and gets no answer that
             # would seem to renew a lease.
             return 503, None
         machine = known or self.cluster.machine(
             heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, MachinePhase.UP, now
         )
-        if machine.last_order == (0, -1):
+        if machine.last_received == (0, -1):
             machine.registered_at = machine.idle_since = now
-        machine.last_order = order
-        if heartbeat.fencing_token >= machine.last_response[0]:
+        machine.last_received = position
+        if heartbeat.fencing_token >= machine.last_response_token:
             if machine.unacknowledged_since is not None:
                 log.info("machine %s hears us again", machine.name)
                 self.listener.state_changed()
@@ -113,9 +113,9 @@
         elif machine.unacknowledged_since is None:
             # It reports, yet has not seen the answer to its report before: what goes out
             # to it may be lost altogether. No new work until it proves to have heard us.
-            machine.unacknowledged_since = machine.last_response[1]
+            machine.unacknowledged_since = machine.last_response_at
             log.info("machine %s did not get our last answer", machine.name)
-        if order > (machine.epoch, machine.sequence):
+        if position > (machine.epoch, machine.sequence):
             self._apply(machine, heartbeat, now, conclusive=True)
             if not machine.confirmed and heartbeat.fencing_token >= self.base:
                 machine.confirmed = True
@@ -124,7 +124,7 @@
                 self.listener.state_changed()
         # A check-in overtaken by a direct answer is still answered, but tells nothing.
         machine.lease_renewed_at = now
-        machine.last_response = (self.fencing_token, now)
+        machine.last_response_token, machine.last_response_at = self.fencing_token, now
         return 200, encode_heartbeat_response(
             self.fencing_token, self._commands(machine, now, direct=False)
         )
