--- a/bench/cost.py
+++ b/bench/cost.py
@@ -23,6 +23,7 @@
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.heartbeats import decode_heartbeat
 from peathall.protocol.jobs import JobSpec
+from peathall.workers.delivery import DeliveryLimits
 from peathall.workers.events import IgnoredEvents
 from peathall.workers.service import Workers
 
@@ -48,7 +49,9 @@
     )  # fmt: skip
     cluster = ClusterState(1, 1 << 24)
     cluster.types = {"g": KIND}
-    workers = Workers(cluster, params.workers, now, lambda: True, IgnoredEvents(), 9)
+    workers = Workers(
+        cluster, params.workers, now, lambda: True, IgnoredEvents(), DeliveryLimits(9)
+    )
     writer: Any = SimpleNamespace(versions={}, submit=lambda ops: None)
     demand: Any = SimpleNamespace(note_unplaced=lambda plan: None)
     placement = Placement(cluster, params, writer, workers, lambda: 0.0, lambda: True, [demand])
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -132,12 +132,12 @@
             self.on_round_finished(attempt.round_key)
         self.on_capacity_freed()
 
-    def remove_machine(self, machine: Machine, now: float, why: str) -> list[Attempt]:
+    def remove_machine(self, machine: Machine, now: float, reason: str) -> list[Attempt]:
         """Remove a machine that is gone, and release its attempts; these are returned."""
         machine.enter(MachinePhase.GONE)
         lost = self.release_all(machine, now)
         self.machines.pop(machine.name, None)
-        log.info("machine %s removed, %d tasks lost: %s", machine.name, len(lost), why)
+        log.info("machine %s removed, %d tasks lost: %s", machine.name, len(lost), reason)
         return lost
 
     def release_all(self, machine: Machine, now: float) -> list[Attempt]:
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -28,6 +28,7 @@
 from peathall.protocol.jobs import JobSpec
 from peathall.store.client import StoreClient, StoreError
 from peathall.store.writer import Writer, WriterPhase
+from peathall.workers.delivery import DeliveryLimits
 from peathall.workers.failing_jobs import FAILING_JOBS_KEY, FailingJobsRecord
 from peathall.workers.image_cache import CACHE, ImageCacheRecords
 from peathall.workers.service import Workers
@@ -92,8 +93,10 @@
             now,
             self.is_active,
             self,
-            max(1, int(params.machine_limits.fd_limit * constants.DIRECT_COMMAND_SOCKET_SHARE)),
-            constants.DEFERRABLE_COMMANDS * min(1.0, params.machine_limits.cpu_share),
+            DeliveryLimits(
+                max(1, int(params.machine_limits.fd_limit * constants.DIRECT_COMMAND_SOCKET_SHARE)),
+                constants.DEFERRABLE_COMMANDS * min(1.0, params.machine_limits.cpu_share),
+            ),
             heartbeats_elsewhere,
         )
         self.image_caches = ImageCacheRecords(self.cluster, self.writer)
--- a/peathall/workers/__init__.py
+++ b/peathall/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `workers`: check-ins, leases, and the orders that go back."""
+"""Workers: heartbeats, leases, health, and the commands that are sent to them."""
--- /dev/null
+++ b/peathall/workers/attempt_control.py
@@ -0,0 +1,60 @@
+"""Ending attempts: stopping them, and what follows when machines have lost them."""
+
+from __future__ import annotations
+
+from peathall.cluster.job import Attempt, AttemptPhase, Job
+from peathall.cluster.state import ClusterState
+from peathall.workers.delivery import CommandDelivery
+from peathall.workers.direct_starts import DirectStarts
+from peathall.workers.events import WorkerListener
+
+
+class AttemptControl:
+    """Stops attempts, and stops what is left of a gang when one of its tasks has gone."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        delivery: CommandDelivery,
+        direct_starts: DirectStarts,
+        listener: WorkerListener,
+    ) -> None:
+        self.cluster = cluster
+        self.delivery = delivery
+        self.direct_starts = direct_starts
+        self.listener = listener
+
+    def stop(self, attempt: Attempt, grace_s: float, now: float) -> None:
+        """Stop an attempt, with so many seconds to checkpoint.
+
+        The command is sent at once, and with every answer to a heartbeat until the attempt is
+        gone. A later call may only shorten the time.
+        """
+        if attempt.stopping and grace_s >= attempt.grace_s:
+            return
+        attempt.stopping = True
+        attempt.grace_s = grace_s
+        if attempt.phase is AttemptPhase.INTENDED:
+            # No start command was sent, so no machine has it.
+            self.cluster.release(attempt, now)
+            return
+        if attempt.phase is not AttemptPhase.PLANNED:
+            self.delivery.push(self.cluster.machines[attempt.machine])
+
+    def break_gang(self, job: Job, number: int, now: float) -> None:
+        """Stop the attempts of a gang of which one has gone, at once: they cannot go on, so there
+        is nothing to checkpoint."""
+        if len(job.done) >= job.spec.tasks:
+            return
+        peers = [attempt for attempt in job.attempts.values() if attempt.number == number]
+        for peer in peers:
+            self.stop(peer, 0.0, now)
+
+    def note_lost(self, attempts: list[Attempt], now: float) -> None:
+        """Released attempts are lost: their machine is gone, its lease expired, or its heartbeat
+        does not show them."""
+        for attempt in attempts:
+            self.direct_starts.forget(attempt)
+            if attempt.job.spec.gang:
+                self.break_gang(attempt.job, attempt.number, now)
+        self.listener.state_changed()
--- /dev/null
+++ b/peathall/workers/commands.py
@@ -0,0 +1,79 @@
+"""Which commands are due to a machine: start, stop and forget."""
+
+from __future__ import annotations
+
+import asyncio
+from itertools import islice
+from typing import Any
+
+from peathall import constants
+from peathall.cluster.job import Attempt, AttemptPhase, JobPhase
+from peathall.cluster.machine import Machine, MachinePhase
+from peathall.protocol.heartbeats import forget_command, start_command, stop_command
+from peathall.workers.attempt_tracking import AttemptTracking
+from peathall.workers.fencing import FencingTokenCounter
+
+# A command as it is encoded in an answer to a heartbeat, or sent directly.
+EncodedCommand = dict[str, Any]
+
+
+class DueCommands:
+    """Chooses the commands that are due. Start commands that are chosen count as sent."""
+
+    def __init__(self, tokens: FencingTokenCounter, tracking: AttemptTracking) -> None:
+        self.tokens = tokens
+        self.exits = tracking.exits
+        self.unknown_tasks = tracking.unknown_tasks
+        self.direct_starts = tracking.direct_starts
+        self.loop = asyncio.get_running_loop()
+
+    def for_response(self, machine: Machine, now: float) -> list[EncodedCommand]:
+        """Commands for the answer to a heartbeat."""
+        commands = self._attempt_commands(machine, now, direct=False)
+        commands += self._forget_commands(machine, constants.MACHINE_TASKS - len(commands))
+        commands += [
+            stop_command(status.job, status.task, status.attempt, 0.0)
+            for status in self.unknown_tasks.of(machine.name)
+        ]
+        return commands
+
+    def for_delivery(self, machine: Machine, now: float) -> list[EncodedCommand]:
+        """Commands to send directly: starts and stops only, since the others can wait."""
+        return self._attempt_commands(machine, now, direct=True)
+
+    def _attempt_commands(self, machine: Machine, now: float, direct: bool) -> list[EncodedCommand]:
+        """Starts and stops; at most as many as an answer may hold."""
+        commands: list[EncodedCommand] = []
+        usable = machine.confirmed and machine.phase in (MachinePhase.UP, MachinePhase.DRAINING)
+        usable = usable and machine.unacknowledged_since is None
+        for (job_id, task), attempt in machine.attempts.items():
+            if attempt.phase is AttemptPhase.RUNNING and not attempt.stopping:
+                continue  # nearly all of them
+            if len(commands) >= constants.MACHINE_TASKS:
+                break  # the next answer carries the others
+            if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.GONE):
+                continue
+            if attempt.stopping:
+                commands.append(stop_command(job_id, task, attempt.number, attempt.grace_s))
+            elif usable and self._may_start(attempt):
+                commands.append(start_command(job_id, task, attempt.number))
+                attempt.enter(AttemptPhase.SENT, now)
+                attempt.epoch = machine.epoch
+                if direct:
+                    self.direct_starts.note(attempt, self.tokens.current)
+        return commands
+
+    def _may_start(self, attempt: Attempt) -> bool:
+        job = attempt.job
+        return (
+            attempt.phase in (AttemptPhase.INTENDED, AttemptPhase.SENT)
+            and job.phase is JobPhase.ACTIVE
+            and not job.on_hold
+            and self.loop.time() < job.start_deadline
+            and attempt.number >= self.tokens.lowest  # not of an earlier term
+        )
+
+    def _forget_commands(self, machine: Machine, limit: int) -> list[EncodedCommand]:
+        """For ended attempts that their machine need not report any more."""
+        exits = islice(self.exits.forgettable(machine.name, self.tokens.current), max(0, limit))
+        return [forget_command(exited.job, exited.task, exited.number) for exited in exits]
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -1,4 +1,4 @@
-"""Direct orders: what is due to a machine, sent without waiting for its next report."""
+"""Direct commands: sent to a worker without waiting for its next heartbeat."""
 
 from __future__ import annotations
 
@@ -6,6 +6,7 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any, Protocol
 
 from peathall import constants
@@ -19,17 +20,25 @@
 
 
 class CommandSource(Protocol):
-    """Who knows what is due to a machine, and learns from its answer."""
+    """Chooses the commands for a machine, and applies its response to them."""
 
     def commands_due(self, machine: Machine) -> dict[str, Any] | None:
-        """The orders that are due now, or None."""
+        """The encoded message with the commands that are due; None if there are none."""
 
     def note_command_response(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        """The machine's report after them."""
+        """Apply the response, which has the form of a heartbeat."""
+
+
+@dataclass(frozen=True, slots=True)
+class DeliveryLimits:
+    """Bounds of direct commands."""
+
+    connections: int  # open at once, at most
+    deferrable_per_s: float = constants.DEFERRABLE_COMMANDS  # rate of deferrable ones
 
 
 class CommandDelivery:
-    """Sends direct orders, one request at a time for each machine."""
+    """Sends direct commands, one request at a time for each machine."""
 
     def __init__(
         self, source: CommandSource, is_leader: Callable[[], bool], connections: int, rate: float
@@ -37,17 +46,19 @@
         self.source = source
         self.is_leader = is_leader
         self.loop = asyncio.get_running_loop()
-        self.connections = connections  # at most, at once
-        self.under_way: dict[str, asyncio.Task[None]] = {}  # by machine
-        self.deferrable = TokenBucket(rate)  # of orders that might as well wait for a report
-        self._turn = asyncio.Semaphore(connections)
-        self._clients: OrderedDict[str, HttpClient] = OrderedDict()  # least lately used first
+        self.connections = connections
+        self.under_way: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
+        self.deferrable = TokenBucket(rate)
+        self._connection_slots = asyncio.Semaphore(connections)
+        # By address; the least recently used first.
+        self._clients: OrderedDict[str, HttpClient] = OrderedDict()
 
     def push(self, machine: Machine, deferrable: bool = False) -> None:
-        """Send what is due straight to the worker.
+        """Send the commands that are due to the machine, without waiting for them to arrive.
 
-        What is deferrable goes out like this only while few such orders do: the more there is to
-        start, the more of it waits for the next check-in, which comes anyway and carries all.
+        Deferrable commands are sent only within their rate limit. Beyond it they wait for the
+        next heartbeat, whose answer carries all of them: the more there is to start, the more
+        requests that saves.
         """
         if deferrable and self.deferrable.wait(1, self.loop.time()) > 0:
             return
@@ -56,11 +67,11 @@
 
     async def _deliver(self, machine: Machine) -> None:
         try:
-            await asyncio.sleep(0)  # whatever is decided in this turn goes out together
-            async with self._turn:
+            await asyncio.sleep(0)  # all that is decided in this pass of the loop is sent together
+            async with self._connection_slots:
                 await self._deliver_now(machine)
         except (NoAnswerError, codec.MalformedError) as exc:
-            log.info("direct orders to %s: %s", machine.name, exc)
+            log.info("direct commands to machine %s failed: %s", machine.name, exc)
         finally:
             del self.under_way[machine.name]
 
@@ -72,30 +83,33 @@
             "POST", "/commands", codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
         )
         if status != 200:
-            log.info("direct orders to %s refused: %d", machine.name, status)
+            log.info("direct commands to machine %s refused: status %d", machine.name, status)
         elif self.is_leader():
             self.source.note_command_response(machine, decode_heartbeat(codec.cbor_map(raw)))
 
     def _client(self, addr: str) -> HttpClient:
-        """A connection to a worker; of the unused ones the oldest are closed, so that
-        hundreds of machines do not use up the sockets."""
+        """The client for a worker.
+
+        The least recently used idle ones are closed, so that hundreds of machines do not use up
+        the sockets.
+        """
         client = self._clients.get(addr)
         if client is None:
             client = self._clients[addr] = HttpClient(addr, keep=1, may_send=self.is_leader)
         self._clients.move_to_end(addr)
-        unused = [a for a, other in self._clients.items() if not other.busy and other is not client]
-        for other in unused[: max(0, len(self._clients) - self.connections)]:
-            self._clients.pop(other).close()
+        idle = [a for a, other in self._clients.items() if not other.busy and other is not client]
+        for idle_addr in idle[: max(0, len(self._clients) - self.connections)]:
+            self._clients.pop(idle_addr).close()
         return client
 
     def forget(self, machine: Machine) -> None:
-        """The machine is gone."""
+        """Close the connection to a machine that is gone."""
         client = self._clients.pop(machine.addr, None)
         if client is not None:
             client.close()
 
     def close(self) -> None:
-        """Give up what is under way."""
+        """Cancel the requests that are in progress, and close all connections."""
         for task in self.under_way.values():
             task.cancel()
         for client in self._clients.values():
--- a/peathall/workers/events.py
+++ b/peathall/workers/events.py
@@ -1,4 +1,4 @@
-"""What the workers' reports tell the other slices of a leader."""
+"""Events that heartbeats cause in the other parts of a leader."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class WorkerListener(Protocol):
-    """Who is told."""
+    """Receives the events."""
 
     def tasks_done(self, job: Job) -> None:
         """Tasks of the job were reported done."""
 
     def state_changed(self) -> None:
-        """Something may start now, or must be decided anew."""
+        """A placement round is due: something may start now, or must be decided anew."""
 
     def images_changed(self, machine: Machine) -> None:
         """The machine has cached another image."""
 
     def machine_confirmed(self, machine: Machine) -> None:
-        """The machine has reported under this term's token for the first time."""
+        """The machine has shown a fencing token of this term for the first time."""
 
     def spot_notice_received(self, machine: Machine, now: float) -> None:
-        """The cloud has announced that it takes the machine back."""
+        """The cloud has announced that it reclaims the machine."""
 
 
 class IgnoredEvents:
-    """Nobody is told."""
+    """A listener that does nothing."""
 
     def tasks_done(self, job: Job) -> None:
         """Ignored."""
--- /dev/null
+++ b/peathall/workers/exit_handler.py
@@ -0,0 +1,116 @@
+"""What follows from the end of an attempt: done tasks, failures, retries."""
+
+from __future__ import annotations
+
+import logging
+
+from peathall import constants
+from peathall.cluster.job import Attempt, AttemptPhase, Job, JobPhase
+from peathall.cluster.machine import Machine
+from peathall.cluster.state import ClusterState
+from peathall.protocol.heartbeats import ExitReason, TaskStatus
+from peathall.workers.attempt_control import AttemptControl
+from peathall.workers.direct_starts import DirectStarts
+from peathall.workers.events import WorkerListener
+from peathall.workers.exits import ExitedAttempt
+from peathall.workers.faults import FaultTracker
+from peathall.workers.fencing import FencingTokenCounter
+from peathall.workers.images import CachedImages
+from peathall.workers.quarantine import Quarantine
+
+log = logging.getLogger("peathall.workers")
+
+# The worker's state differs from the leader's: its next heartbeats show how.
+STATE_MISMATCH = (ExitReason.NO_CAPACITY, ExitReason.BUSY, ExitReason.UNKNOWN)
+
+
+class ExitHandler:
+    """Applies the exits that heartbeats report to the cluster state."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        tokens: FencingTokenCounter,
+        direct_starts: DirectStarts,
+        faults: FaultTracker,
+        quarantine: Quarantine,
+        control: AttemptControl,
+        images: CachedImages,
+        listener: WorkerListener,
+    ) -> None:
+        self.cluster = cluster
+        self.tokens = tokens
+        self.direct_starts = direct_starts
+        self.faults = faults
+        self.quarantine = quarantine
+        self.control = control
+        self.images = images
+        self.listener = listener
+
+    def handle(
+        self,
+        machine: Machine,
+        status: TaskStatus,
+        attempt: Attempt | None,
+        before: ExitedAttempt | None,
+        now: float,
+    ) -> ExitedAttempt:
+        """Apply one exit.
+
+        `attempt` is the attempt that ended, None if the cluster state does not have it; `before`
+        is what an earlier heartbeat said of the same exit. Returns what is to be remembered of it.
+        """
+        job = self.cluster.jobs.get(status.job)
+        # A replica of a daemon is never done, whatever is reported: it has ended, and runs again.
+        done = status.exit_reason is ExitReason.DONE and not (job is not None and job.spec.daemon)
+        # Delayed start commands of an earlier term are fenced by the lowest token of this term.
+        direct_start_token = 0
+        if attempt is not None:
+            direct_start_token = self.direct_starts.forget(attempt)
+            if attempt.phase in (AttemptPhase.FETCHING, AttemptPhase.SENT) and done:
+                self.images.note(machine, attempt)
+        elif status.attempt >= self.tokens.lowest:
+            direct_start_token = (
+                before.direct_start_token if before is not None else self.tokens.current
+            )
+        if job is not None and done and job.phase is JobPhase.ACTIVE:
+            self._note_done(job, status.task, machine, now)
+        if attempt is not None and attempt.phase is not AttemptPhase.GONE:
+            self._end_attempt(machine, attempt, status, now)
+        # The successful end of a job that is not known yet is handled again.
+        settled = job is not None or not done
+        return ExitedAttempt(
+            status.job, status.task, status.attempt, done, direct_start_token, settled
+        )
+
+    def _note_done(self, job: Job, task: int, machine: Machine, now: float) -> None:
+        job.has_started = True
+        self.quarantine.drain_unhealthy(self.faults.note_success(job, machine, now))
+        if job.spec.gang:
+            # The tasks of a gang complete together: when one is done, all are.
+            if len(job.done) < job.spec.tasks:
+                job.mark_all_done()
+                self.listener.tasks_done(job)
+        elif job.mark_done(task):
+            self.listener.tasks_done(job)
+
+    def _end_attempt(
+        self, machine: Machine, attempt: Attempt, status: TaskStatus, now: float
+    ) -> None:
+        job, number, reason = attempt.job, attempt.number, status.exit_reason
+        runtime_s = now - attempt.since if attempt.running else 0.0
+        self.cluster.release(attempt, now)
+        if reason is not ExitReason.DONE:
+            log.info(
+                "task %s/%d ended on machine %s: %s",
+                job.spec.id,
+                attempt.task,
+                machine.name,
+                reason.value if reason else "?",
+            )
+        if reason is ExitReason.ERROR or (reason is ExitReason.DONE and job.spec.daemon):
+            self.quarantine.drain_unhealthy(self.faults.note_failure(attempt, runtime_s, now))
+        elif reason in STATE_MISMATCH:
+            job.backoff_until = max(job.backoff_until, now + constants.ERROR_BACKOFF_S)
+        if job.spec.gang and reason is not ExitReason.DONE:
+            self.control.break_gang(job, number, now)
--- a/peathall/workers/exits.py
+++ b/peathall/workers/exits.py
@@ -1,4 +1,4 @@
-"""Ended attempts that machines still report, until they may be forgotten there."""
+"""Ended attempts that machines still report, until a forget command may be sent for them."""
 
 from __future__ import annotations
 
@@ -7,47 +7,49 @@
 
 from peathall.cluster.state import ClusterState
 
-ExitKey = tuple[str, int, int]  # job, task, attempt
+# Job, task and attempt number. A plain tuple, since one is made for every ended attempt in every
+# heartbeat.
+ExitKey = tuple[str, int, int]
 
 
 @dataclass(slots=True)
 class ExitedAttempt:
-    """One of them."""
+    """An ended attempt that its machine still reports."""
 
     job: str
     task: int
     number: int
     done: bool
-    direct_token: int  # under which its start may still arrive; 0: it can't
-    settled: bool  # False: of a job that is not known yet, so it is looked at again
+    direct_start_token: int  # under which its start may still arrive; 0: it cannot
+    settled: bool  # False: its job is not known yet, so the exit is handled again
 
 
 class ExitedAttempts:
-    """All of them, by machine."""
+    """The ended attempts of all machines."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
         self._by_machine: dict[str, dict[ExitKey, ExitedAttempt]] = {}
 
     def of(self, machine: str) -> dict[ExitKey, ExitedAttempt]:
-        """Those in the machine's latest report."""
+        """Those in the machine's latest heartbeat."""
         return self._by_machine.get(machine, {})
 
     def replace(self, machine: str, exits: dict[ExitKey, ExitedAttempt]) -> None:
-        """A newer report names just these."""
+        """Set those of a newer heartbeat."""
         self._by_machine[machine] = exits
 
     def drop(self, machine: str) -> None:
-        """The machine is gone, or has forgotten all of them."""
+        """Forget those of a machine that is gone, or has forgotten all of them."""
         self._by_machine.pop(machine, None)
 
     def forgettable(self, machine: str, fencing_token: int) -> Iterable[ExitedAttempt]:
-        """Those whose end is stored, and whose starts can't arrive any more: they went out under an
-        older token than the one that answers carry now."""
-        for known in self.of(machine).values():
-            if self._end_is_stored(known) and known.direct_token < fencing_token:
-                yield known
-
-    def _end_is_stored(self, known: ExitedAttempt) -> bool:
-        job = self.cluster.jobs.get(known.job)
-        return not known.done or job is None or job.is_final or known.task in job.stored_done
+        """Those whose end is stored and whose start cannot arrive any more, since it was sent
+        under a lower token than the one that answers carry now."""
+        for exited in self.of(machine).values():
+            if self._end_is_stored(exited) and exited.direct_start_token < fencing_token:
+                yield exited
+
+    def _end_is_stored(self, exited: ExitedAttempt) -> bool:
+        job = self.cluster.jobs.get(exited.job)
+        return not exited.done or job is None or job.is_final or exited.task in job.stored_done
--- a/peathall/workers/failing_jobs.py
+++ b/peathall/workers/failing_jobs.py
@@ -1,6 +1,6 @@
-"""Which jobs may be mistaken, kept in the state service across take-overs, all in one record.
+"""Failing jobs, kept in the state service across failovers, all in one record.
 
-Only a hint: a new leader that does not know it starts such a job once in full.
+The record is a hint: a new leader without it would start all tasks of such a job once more.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class FailingJobsRecord:
-    """The record of jobs that may be mistaken."""
+    """The record of the failing jobs."""
 
     def __init__(self, cluster: ClusterState, faults: FaultTracker, writer: Writer) -> None:
         self.cluster = cluster
@@ -24,27 +24,27 @@
         self.writer = writer
         faults.on_failing_jobs_changed = self.changed
 
-    def load(self, item: KeyValue | None) -> None:
-        """After a take-over: which were."""
-        if item is None:
+    def load(self, record: KeyValue | None) -> None:
+        """Read the record after a failover, and mark the jobs."""
+        if record is None:
             return
-        self.writer.versions[FAILING_JOBS_KEY] = item.version
-        for job_id, consecutive_failures in item.value["jobs"]:
+        self.writer.versions[FAILING_JOBS_KEY] = record.version
+        for job_id, consecutive_failures in record.value["jobs"]:
             job = self.cluster.jobs.get(job_id)
             if job is not None and not job.done:
                 self.faults.mark_failing(job, consecutive_failures)
 
     def changed(self) -> None:
-        """Written when nothing that matters more waits; as seldom as the set changes."""
-        self.writer.defer(FAILING_JOBS_KEY, self._change)
+        """Write the record, deferred: the set of failing jobs has changed."""
+        self.writer.defer(FAILING_JOBS_KEY, self._mutation)
 
-    def _change(self) -> Mutation:
-        found = [
+    def _mutation(self) -> Mutation:
+        jobs = [
             [job.spec.id, job.consecutive_failures]
             for job in self.faults.watched.values()
             if job.health is JobHealth.FAILING and self.cluster.jobs.get(job.spec.id) is job
         ]
-        most = min(
+        limit = min(
             constants.FAILING_JOBS_KEPT, self.writer.value_limit // constants.FAILING_JOB_BYTES
         )
-        return Mutation({}, [Put(FAILING_JOBS_KEY, {"jobs": found[-most:]})])
+        return Mutation({}, [Put(FAILING_JOBS_KEY, {"jobs": jobs[-limit:]})])
--- a/peathall/workers/faults.py
+++ b/peathall/workers/faults.py
@@ -1,7 +1,8 @@
-"""Whose fault a failure is: the machine's or the job's. Pure: time comes in as an argument.
+"""Fault attribution: whether failures of tasks are due to the machine or to the job.
 
-A machine is sick if it fails jobs that go well elsewhere; a job is mistaken if it fails on
-several machines and goes well on none. One failure alone says nothing.
+A machine is unhealthy if it fails jobs that succeed elsewhere; a job is failing if it fails on
+several machines and succeeds on none. One failure alone shows neither. No clock is read: times
+are steady times in seconds and come in as arguments.
 """
 
 from __future__ import annotations
@@ -13,45 +14,36 @@
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
 
+# From so many machines on which a job fails, the job is considered failing.
+FAILING_JOB_LIMITS = {
+    JobHealth.HEALTHY: constants.WIDESPREAD_FAILURE_MACHINES,
+    JobHealth.UNKNOWN: constants.FAILING_JOB_MACHINES,
+    JobHealth.FAILING: 1,
+}
+
 
 class FaultTracker:
-    """Tells sick machines from mistaken jobs by what both did elsewhere."""
+    """Tells unhealthy machines from failing jobs by the results of both elsewhere."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        self.on_failing_jobs_changed: Callable[[], None] = lambda: None  # one more, or one less
-        self.watched: dict[str, Job] = {}  # jobs that failed and have not gone well since
+        # Called when a job becomes failing, or is failing no more.
+        self.on_failing_jobs_changed: Callable[[], None] = lambda: None
+        self.watched: dict[str, Job] = {}  # jobs that failed and have not succeeded since
 
-    def failed(self, attempt: Attempt, ran_s: float, now: float) -> list[Machine]:
-        """A task failed after running for so long. Returns the machines that are sick."""
+    def note_failure(self, attempt: Attempt, runtime_s: float, now: float) -> list[Machine]:
+        """A task failed after it had run for `runtime_s`; the machines found unhealthy."""
         job, machine = attempt.job, self.cluster.machines[attempt.machine]
-        job.failed_on.pop(machine.name, None)
-        job.failed_on[machine.name] = now
-        job.longest_failed_run_s = max(job.longest_failed_run_s, ran_s)
-        self.watched[job.spec.id] = job
-        if attempt.number != job.last_failed_attempt:
-            job.last_failed_attempt = (
-                attempt.number
-            )  # tasks that were started together fail together
-            job.consecutive_failures += 1
-        limit = {
-            JobHealth.HEALTHY: constants.WIDESPREAD_FAILURE_MACHINES,
-            JobHealth.UNKNOWN: constants.FAILING_JOB_MACHINES,
-        }
-        if len(job.failed_on) >= limit.get(job.health, 1):
+        self._count_failure(job, machine, attempt.number, runtime_s, now)
+        if len(job.failed_on) >= FAILING_JOB_LIMITS[job.health]:
             if job.health is not JobHealth.FAILING:
                 self.mark_failing(job, 1)
                 self.on_failing_jobs_changed()
-            # Not one machine is to blame for what fails on several.
-            for name in job.failed_on:
-                other = self.cluster.machines.get(name)
-                if other is not None:
-                    other.failed_jobs.discard(job.spec.id)
-            pause = constants.ERROR_BACKOFF_S * 2 ** min(job.consecutive_failures - 1, 10)
-            job.backoff_until = now + min(constants.ERROR_BACKOFF_MAX_S, pause)
+            self._clear_machines(job)
+            job.backoff_until = now + self._backoff_s(job)
             return []
         machine.failed_jobs.add(job.spec.id)
-        if self._proves_itself(machine, job.failed_on[machine.name]):
+        if self._succeeded_since(machine, now):
             return []
         unhealthy = (
             job.health is JobHealth.HEALTHY
@@ -59,56 +51,85 @@
         )
         return [machine] if unhealthy else []
 
+    def _count_failure(
+        self, job: Job, machine: Machine, number: int, runtime_s: float, now: float
+    ) -> None:
+        job.failed_on.pop(machine.name, None)  # the latest goes to the end
+        job.failed_on[machine.name] = now
+        job.longest_failed_run_s = max(job.longest_failed_run_s, runtime_s)
+        self.watched[job.spec.id] = job
+        if number != job.last_failed_attempt:
+            # Tasks that were started together have one attempt number and fail together.
+            job.last_failed_attempt = number
+            job.consecutive_failures += 1
+
+    def _clear_machines(self, job: Job) -> None:
+        """A job that fails on several machines does not count against any of them."""
+        for name in job.failed_on:
+            machine = self.cluster.machines.get(name)
+            if machine is not None:
+                machine.failed_jobs.discard(job.spec.id)
+
+    @staticmethod
+    def _backoff_s(job: Job) -> float:
+        backoff_s = constants.ERROR_BACKOFF_S * 2.0 ** min(job.consecutive_failures - 1, 10)
+        return min(constants.ERROR_BACKOFF_MAX_S, backoff_s)
+
     def mark_failing(self, job: Job, consecutive_failures: int) -> None:
-        """The job may be mistaken: it has failed so many times."""
+        """The job is failing: so many of its starts failed in a row."""
         job.set_health(JobHealth.FAILING)
         job.consecutive_failures = consecutive_failures
         self.watched[job.spec.id] = job
 
     def note_success(self, job: Job, machine: Machine, now: float) -> list[Machine]:
-        """A task of the job has ended as it should. Returns the machines that are sick."""
+        """A task of the job has succeeded on the machine; the machines found unhealthy."""
         machine.last_success_at = now
         machine.failed_jobs.clear()
         job.failed_on.pop(machine.name, None)
-        return self._proven(job)
+        return self._mark_healthy(job)
 
-    def _proven(self, job: Job) -> list[Machine]:
-        mark_failing = job.health is JobHealth.FAILING
+    def _mark_healthy(self, job: Job) -> list[Machine]:
+        was_failing = job.health is JobHealth.FAILING
         job.set_health(JobHealth.HEALTHY)
         if self.watched.pop(job.spec.id, None) is None:
             return []
-        if mark_failing:
+        if was_failing:
             self.on_failing_jobs_changed()
         job.consecutive_failures = 0
         job.backoff_until = 0.0
-        failed = [(self.cluster.machines.get(name), at) for name, at in job.failed_on.items()]
-        unhealthy = [m for m, at in failed if m is not None and not self._proves_itself(m, at)]
-        # Many at once are no single sick machines: whatever it was, it is over.
+        unhealthy = self._machines_without_success(job)
+        # So many at once are not each unhealthy: they had a common cause, which is over.
         return unhealthy if len(unhealthy) < constants.WIDESPREAD_FAILURE_MACHINES else []
 
-    def _proves_itself(self, machine: Machine, failed_at: float) -> bool:
-        """Whether anything has gone well on the machine since then."""
+    def _machines_without_success(self, job: Job) -> list[Machine]:
+        """Machines on which the job failed and nothing has succeeded since, the latest last."""
+        failed = [(self.cluster.machines.get(name), at) for name, at in job.failed_on.items()]
+        return [
+            machine
+            for machine, failed_at in failed
+            if machine is not None and not self._succeeded_since(machine, failed_at)
+        ]
+
+    @staticmethod
+    def _succeeded_since(machine: Machine, failed_at: float) -> bool:
         return machine.last_success_at > failed_at
 
-    def look(self, now: float) -> list[Machine]:
-        """Now and then: what has run for longer than its failures took goes well."""
+    def note_runtimes(self, now: float) -> list[Machine]:
+        """Called every second: a job is healthy if a task has run for longer than those that
+        failed. Returns the machines found unhealthy by that."""
         unhealthy: list[Machine] = []
         for job in list(self.watched.values()):
             if self.cluster.jobs.get(job.spec.id) is not job:
                 del self.watched[job.spec.id]
                 continue
-            enough = max(constants.SUCCESS_RUNTIME_S, 2 * job.longest_failed_run_s)
+            enough_s = max(constants.SUCCESS_RUNTIME_S, 2 * job.longest_failed_run_s)
             for attempt in job.attempts.values():
-                if attempt.running and now - attempt.since > enough:
-                    unhealthy += self._proven(job)
+                if attempt.running and now - attempt.since > enough_s:
+                    unhealthy += self._mark_healthy(job)
                     break
         return unhealthy
 
     def machines_to_avoid(self, job: Job) -> list[str]:
-        """Machines on which the job failed and nothing has gone well since, the latest few."""
-        found = []
-        for name, at in job.failed_on.items():
-            machine = self.cluster.machines.get(name)
-            if machine is not None and not self._proves_itself(machine, at):
-                found.append(name)
-        return found[-constants.AVOID_MACHINES :]
+        """Machines on which the job failed and nothing has succeeded since, the latest few."""
+        names = [machine.name for machine in self._machines_without_success(job)]
+        return names[-constants.AVOID_MACHINES :]
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -1,4 +1,5 @@
-"""Which machines are silent, and whose fault that is: theirs, the network's or our own."""
+"""Health of machines by their heartbeats: which are silent, and whether the machines, the network
+or this controller are the cause."""
 
 from __future__ import annotations
 
@@ -12,12 +13,15 @@
 
 log = logging.getLogger("peathall.workers")
 
-# Machine -> session and sequence number of its latest report to another controller.
+# Returns, by machine, epoch and sequence of its latest heartbeat to another controller.
 HeartbeatsElsewhere = Callable[[], dict[str, tuple[int, int]]]
 
 
 class MachineHealth:
-    """Judges machines by the age of their reports, and by what other controllers hear of them."""
+    """Judges machines by the age of their heartbeats, and by heartbeats to other controllers.
+
+    All times are steady times in seconds.
+    """
 
     def __init__(
         self,
@@ -29,31 +33,39 @@
         self.cluster = cluster
         self.settings = settings
         self.elsewhere = elsewhere
-        self.last_tick = self.active_since = now  # see note_tick()
+        self.last_tick = now
+        # Heartbeats could be received and answered without a gap since then; see note_tick().
+        self.active_since = now
 
     def seconds_since_heartbeat(self, machine: Machine, now: float) -> float:
-        """Seconds since its last report."""
+        """Seconds since its latest heartbeat."""
         return now - machine.last_heard
 
     def note_tick(self, now: float) -> None:
-        """Called every second while we may act. A gap means that we stood still, or that our
-        lease did: the reports of that time went unanswered, which is no machine's fault."""
+        """Called every second while the leader lease is valid.
+
+        A gap means that the process was stalled or the leader lease had expired. Heartbeats of
+        that time went unanswered, which must not be attributed to the machines.
+        """
         if now - self.last_tick > constants.STALL_S:
-            log.info("did not attend to the machines for %.1f s", now - self.last_tick)
+            log.info(
+                "silence of machines counts from now: no heartbeats were handled for %.1f s",
+                now - self.last_tick,
+            )
             self.active_since = now
         self.last_tick = now
 
     def silent_to_us_s(self, machine: Machine, now: float) -> float:
-        """Seconds for which the machine could have reported to us, and has not."""
+        """Seconds for which the machine could have sent a heartbeat to this leader, and has not."""
         return now - max(machine.last_heard, self.active_since)
 
     def missed_a_report(self, machine: Machine, now: float) -> bool:
-        """Whether its next report should have come, however late reports come."""
+        """Whether its next heartbeat is overdue, allowing for delays."""
         limit = constants.PROBE_AFTER_HEARTBEATS * self.settings.report_s
         return self.silent_to_us_s(machine, now) > limit
 
     def most_are_live(self, now: float) -> bool:
-        """Whether most machines report as ever: who does not has a trouble of its own."""
+        """Whether most machines send heartbeats: the fault is with those that do not."""
         limit = constants.PROBE_RECENT_HEARTBEATS * self.settings.report_s
         up = self.expected()
         heard = [
@@ -62,7 +74,7 @@
         return len(heard) >= constants.PROBE_MIN_LIVE_SHARE * len(up)
 
     def live_share(self, now: float) -> float:
-        """Share of the machines that hear us and have lately reported."""
+        """Share of the machines with recent heartbeats that acknowledge the answers."""
         limit = self.suspect_s()
         up = self.expected()
         heard = [
@@ -73,43 +85,46 @@
         return len(heard) / max(1, len(up))
 
     def suspect_s(self) -> float:
-        """So long after a machine's last report it takes no new work."""
+        """Seconds after its latest heartbeat from which a machine takes no new work."""
         return min(
             constants.SUSPECT_HEARTBEATS * self.settings.report_s,
             constants.SUSPECT_LEASE * self.settings.lease_s,
         )
 
     def lost_s(self) -> float:
-        """So long after it, deleting the machine frees its tasks well before its lease does."""
+        """Seconds after its latest heartbeat from which a machine is deleted: that releases its
+        tasks well before the lease expiry would."""
         return min(
             constants.LOST_HEARTBEATS * self.settings.report_s,
             constants.LOST_LEASE * self.settings.lease_s,
         )
 
     def unreached_s(self) -> float:
-        """Two missed reports: by then every machine would have been heard."""
+        """Seconds after which every machine would have been heard: two missed heartbeats."""
         return 2 * self.settings.report_s + constants.TICK_S
 
     def heartbeats_elsewhere(self) -> Callable[[Machine], bool]:
-        """Tells of a machine whether it has lately sent another controller a report newer
-        than all we had. A late copy of an old report is no sign of life."""
+        """A test whether a machine recently sent another controller a heartbeat that is newer than
+        all that this leader received. A delayed copy of an old one does not show that it lives.
+        """
         elsewhere = self.elsewhere()
         return lambda machine: elsewhere.get(machine.name, (0, -1)) > machine.last_received
 
     def expected(self) -> list[Machine]:
-        """Machines that should report to us, known from reports or only from records."""
+        """Machines that should send heartbeats, known from heartbeats or only from records."""
         phases = (MachinePhase.UP, MachinePhase.RECOVERED)
         return [m for m in self.cluster.machines.values() if m.phase in phases]
 
     def is_partitioned(self, now: float) -> bool:
-        """Most machines are alive, but don't hear us or are not heard: our own trouble."""
+        """Whether this controller is likely to be cut off: most machines are silent or do not
+        acknowledge its answers, and some of these send heartbeats to other controllers."""
         self.note_tick(now)
         up, limit = self.expected(), self.unreached_s()
-        lost = [
+        unreached = [
             m
             for m in up
             if m.unacknowledged_since is not None or self.silent_to_us_s(m, now) > limit
         ]
-        return len(lost) > constants.UNREACHABLE_SHARE * len(up) and any(
-            map(self.heartbeats_elsewhere(), lost)
+        return len(unreached) > constants.UNREACHABLE_SHARE * len(up) and any(
+            map(self.heartbeats_elsewhere(), unreached)
         )
--- /dev/null
+++ b/peathall/workers/leases.py
@@ -0,0 +1,53 @@
+"""Expiry of the leases of workers."""
+
+from __future__ import annotations
+
+import logging
+
+from peathall.cluster.machine import MachinePhase
+from peathall.cluster.state import ClusterState
+from peathall.workers.attempt_control import AttemptControl
+from peathall.workers.exits import ExitedAttempts
+
+log = logging.getLogger("peathall.workers")
+
+
+class LeaseExpiry:
+    """Releases the attempts of machines whose lease has expired: their workers have killed them."""
+
+    def __init__(
+        self,
+        cluster: ClusterState,
+        lease_expiry_s: float,
+        exits: ExitedAttempts,
+        control: AttemptControl,
+    ) -> None:
+        self.cluster = cluster
+        self.lease_expiry_s = lease_expiry_s
+        self.exits = exits
+        self.control = control
+
+    def check(self, now: float, failover_at: float) -> None:
+        """Apply the leases that have expired.
+
+        A lease counts from the latest answer, or from the failover: an earlier leader may have
+        answered until then.
+        """
+        for machine in list(self.cluster.machines.values()):
+            # Known only from records of an earlier term: if it still exists, a heartbeat or the
+            # cloud's list adds it again.
+            unproven = machine.phase is MachinePhase.RECOVERED and not machine.listed_by_cloud
+            if not machine.attempts and not unproven:
+                continue
+            if now - max(machine.lease_renewed_at, failover_at) <= self.lease_expiry_s:
+                continue
+            log.info(
+                "machine %s not confirmed any more, %d tasks lost: its lease expired",
+                machine.name,
+                len(machine.attempts),
+            )
+            machine.confirmed = False
+            self.control.note_lost(self.cluster.release_all(machine, now), now)
+            self.exits.drop(machine.name)
+            if unproven:
+                self.cluster.remove_machine(machine, now, "no heartbeat since the failover")
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -1,4 +1,8 @@
-"""Probes of silent machines that have replicas: a replica is missed from the first second."""
+"""Liveness probes of silent machines that have replicas of daemons.
+
+A replica that is lost is missed from the first second, so these machines are not waited for as
+long as others.
+"""
 
 from __future__ import annotations
 
@@ -12,20 +16,21 @@
 
 
 class LivenessProbes:
-    """Asks machines directly that have missed a report.
+    """Sends direct requests to machines that missed a heartbeat.
 
-    An answer proves that the machine is there, and nothing else: it neither renews the worker's
-    lease nor counts as a report. Without an answer, time and again, the machine may be deleted
-    sooner than its silence alone would allow.
+    An answer proves that the machine exists, and nothing else: it neither renews the worker's
+    lease nor counts as a heartbeat. After PROBE_TRIES probes without an answer the machine may be
+    deleted sooner than its silence alone would allow.
     """
 
     def __init__(self, health: MachineHealth, is_leader: Callable[[], bool]) -> None:
         self.health = health
         self.is_leader = is_leader
-        self._under_way: dict[str, asyncio.Task[None]] = {}  # by machine
+        self._under_way: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
 
     def tick(self, now: float) -> None:
-        """Begin probes of machines that have become silent, unless many have."""
+        """Begin probes of machines that have become silent, unless many have: then the fault is
+        likely to be the network's or this controller's."""
         silent = []
         for machine in self.health.expected():
             if not self.health.missed_a_report(machine, now):
@@ -35,8 +40,8 @@
         if not silent or not self.health.most_are_live(now):
             return
         for machine in silent:
-            asked = machine.failed_probes >= constants.PROBE_TRIES
-            if not asked and machine.name not in self._under_way:
+            is_probed = machine.failed_probes >= constants.PROBE_TRIES
+            if not is_probed and machine.name not in self._under_way:
                 self._under_way[machine.name] = asyncio.create_task(self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
@@ -59,6 +64,6 @@
         return True
 
     def close(self) -> None:
-        """The term is over."""
+        """Cancel the probes in progress: the term is over."""
         for task in self._under_way.values():
             task.cancel()
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -51,7 +51,7 @@
         for attempt in started:
             if job.spec.id in self.mistaken or attempt.machine in self.sick:
                 self.cluster.release(attempt, now)
-                self.empty(self.faults.failed(attempt, 0.0, now))
+                self.empty(self.faults.note_failure(attempt, 0.0, now))
             else:
                 attempt.enter(AttemptPhase.RUNNING, now)
 
@@ -94,9 +94,9 @@
     floor.start(job, ["m-0", "m-1", "m-2"], 0.0)
     assert floor.emptied == []  # who knows?
     assert floor.faults.machines_to_avoid(job) == ["m-0"]
-    floor.empty(floor.faults.look(constants.SUCCESS_RUNTIME_S - 0.1))
+    floor.empty(floor.faults.note_runtimes(constants.SUCCESS_RUNTIME_S - 0.1))
     assert floor.emptied == []
-    floor.empty(floor.faults.look(constants.SUCCESS_RUNTIME_S + 0.1))
+    floor.empty(floor.faults.note_runtimes(constants.SUCCESS_RUNTIME_S + 0.1))
     assert (floor.emptied, job.health) == (["m-0"], JobHealth.HEALTHY)
     floor.sick.add("m-3")
     floor.start(job, ["m-3"], 20.0)
@@ -120,7 +120,7 @@
     assert job.health is JobHealth.FAILING
     assert floor.faults.machines_to_avoid(job) == ["m-0", "m-1"]
     floor.start(job, ["m-2"], 2.0)
-    floor.empty(floor.faults.look(2.1 + constants.SUCCESS_RUNTIME_S))
+    floor.empty(floor.faults.note_runtimes(2.1 + constants.SUCCESS_RUNTIME_S))
     assert job.health is JobHealth.HEALTHY
     assert job.backoff_until == 0.0
     assert sorted(floor.emptied) == ["m-0", "m-1"]
@@ -141,10 +141,10 @@
         for attempt in runs:
             attempt.enter(AttemptPhase.RUNNING, now)
         for second in range(60):
-            floor.empty(floor.faults.look(now + second))
+            floor.empty(floor.faults.note_runtimes(now + second))
         for attempt in runs:
             floor.cluster.release(attempt, now + 60.0)
-            floor.empty(floor.faults.failed(attempt, 60.0, now + 60.0))
+            floor.empty(floor.faults.note_failure(attempt, 60.0, now + 60.0))
     assert len(floor.emptied) <= 2  # before it was known how long it takes to fail
     assert job.health is JobHealth.FAILING
 
@@ -161,7 +161,7 @@
             floor.mistaken.add(job.spec.id)
     while now < 400.0:
         now += 1.0
-        floor.empty(floor.faults.look(now))
+        floor.empty(floor.faults.note_runtimes(now))
         for job in list(floor.cluster.jobs.values()):
             for attempt in list(job.attempts.values()):
                 if now - attempt.since > 20.0:
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -12,7 +12,7 @@
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
 from peathall.http.client import NoAnswerError
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_fleet, new_workers, report
 
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -38,9 +38,10 @@
 )
 from peathall.store.client import KeyValue
 from peathall.store.writer import Writer
+from peathall.workers.delivery import DeliveryLimits
 from peathall.workers.events import IgnoredEvents
 from peathall.workers.image_cache import ImageCacheRecords
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_store import lead
 
@@ -63,7 +64,7 @@
     cluster = ClusterState(TERM, first_attempt(TERM))
     cluster.types = {"g": KIND}
     settings = WorkerSettings(5.0, 24.0, 40.0, 4.0, 40.0)
-    return Workers(cluster, settings, now, lambda: True, IgnoredEvents(), 9)
+    return Workers(cluster, settings, now, lambda: True, IgnoredEvents(), DeliveryLimits(9))
 
 
 def new_fleet(workers: Workers, cloud: Any) -> Autoscaler:
@@ -373,7 +374,7 @@
         for attempt in (first, second):
             attempt.enter(AttemptPhase.RUNNING, now)
         ended = TaskStatus("j-1", 0, workers.base + 1, TaskState.EXITED, ExitReason.DONE, False)
-        told = workers._exited(machine, ended, first, None, now)
+        told = workers.exit_handler.handle(machine, ended, first, None, now)
         assert (len(job.done), job.phase, told.done) == (0, JobPhase.ACTIVE, False)
         assert list(job.pending) == [0] and list(job.attempts) == [1]
         workers.quarantine(machine, "sick")
