--- a/peathall/workers/commands.py
+++ b/peathall/workers/commands.py
@@ -31,10 +31,8 @@
         """Commands for the answer to a heartbeat."""
         commands = self._attempt_commands(machine, now, direct=False)
         commands += self._forget_commands(machine, constants.MACHINE_TASKS - len(commands))
-        commands += [
-            stop_command(status.job, status.task, status.attempt, 0.0)
-            for status in self.unknown_tasks.of(machine.name)
-        ]
+        for status in self.unknown_tasks.of(machine.name):
+            commands.append(stop_command(status.job, status.task, status.attempt, 0.0))
         return commands
 
     def for_delivery(self, machine: Machine, now: float) -> list[EncodedCommand]:
@@ -46,8 +44,9 @@
         commands: list[EncodedCommand] = []
         usable = machine.confirmed and machine.phase in (MachinePhase.UP, MachinePhase.DRAINING)
         usable = usable and machine.unacknowledged_since is None
+        running = AttemptPhase.RUNNING
         for (job_id, task), attempt in machine.attempts.items():
-            if attempt.phase is AttemptPhase.RUNNING and not attempt.stopping:
+            if attempt.phase is running and not attempt.stopping:
                 continue  # nearly all of them
             if len(commands) >= constants.MACHINE_TASKS:
                 break  # the next answer carries the others
--- a/peathall/workers/reconciler.py
+++ b/peathall/workers/reconciler.py
@@ -77,9 +77,9 @@
         if is_first_notice:
             self.listener.spot_notice_received(machine, now)
         if conclusive and heartbeat.fencing_token >= self.tokens.lowest:
-            for attempt in list(machine.attempts.values()):
-                if attempt not in present:
-                    self._note_absent(machine, attempt, heartbeat.fencing_token, now)
+            absent = [attempt for attempt in machine.attempts.values() if attempt not in present]
+            for attempt in absent:
+                self._note_absent(attempt, heartbeat.fencing_token, now)
 
     def _begin_epoch(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
         """The lease of the worker expired: it has killed all its tasks and forgotten them.
@@ -113,8 +113,9 @@
         exits: dict[ExitKey, ExitedAttempt] = {}
         exits_before = self.exits.of(machine.name)
         unknown_tasks: list[TaskStatus] = []
+        attempts = machine.attempts
         for status in heartbeat.tasks:
-            attempt = machine.attempts.get(status.key)
+            attempt = attempts.get(status.key)
             if attempt is not None:
                 if attempt.number != status.attempt:
                     attempt = None
@@ -166,7 +167,7 @@
         if status.state is not TaskState.FETCHING:
             self.images.note(machine, attempt)
 
-    def _note_absent(self, machine: Machine, attempt: Attempt, seen_token: int, now: float) -> None:
+    def _note_absent(self, attempt: Attempt, seen_token: int, now: float) -> None:
         """A conclusive heartbeat does not show this attempt."""
         if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.INTENDED):
             return  # no start command was sent
