--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -38,7 +38,11 @@
 
 
 class CommandDelivery:
-    """Sends direct commands, one request at a time for each machine."""
+    """Sends direct commands, one request at a time for each machine.
+
+    At most `connections` requests are open at once; `rate` is that of deferrable commands, in
+    commands for each second.
+    """
 
     def __init__(
         self, source: CommandSource, is_leader: Callable[[], bool], connections: int, rate: float
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -1,4 +1,4 @@
-"""Machines with replicas that miss a report are asked whether they are there."""
+"""Liveness probes of machines with replicas that missed a heartbeat."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_fleet, new_workers, report
 
-LAST = 6.0  # s; when the silent machine was last heard
+LAST = 6.0  # s; the latest heartbeat of the silent machine
 
 
-class Line:
-    """Stands in for HttpClient: answers, or hangs until it is given up."""
+class FakeHttpClient:
+    """Stands in for HttpClient: answers, or fails like a request without an answer."""
 
     answers = False
     asked: list[str]
@@ -32,17 +32,17 @@
         self, method: str, path: str, raw: bytes, timeout: float
     ) -> tuple[int, bytes]:
         assert (method, path) == ("GET", "/inspect")
-        Line.asked.append(self.addr)
+        FakeHttpClient.asked.append(self.addr)
         await asyncio.sleep(0)
-        if not Line.answers:
+        if not FakeHttpClient.answers:
             raise NoAnswerError("no answer", sent=True)
         return 200, b""
 
 
 @pytest.fixture(autouse=True)
-def line(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("peathall.workers.probes.HttpClient", Line)
-    Line.answers, Line.asked = False, []
+def fake_http_client(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("peathall.workers.probes.HttpClient", FakeHttpClient)
+    FakeHttpClient.answers, FakeHttpClient.asked = False, []
 
 
 def play(test: Callable[[Workers, Autoscaler, Machine], Coroutine[Any, Any, None]]) -> None:
@@ -58,14 +58,14 @@
         job = workers.cluster.jobs["j-1"] = Job(spec(daemon=True))
         workers.cluster.allocate(job, 0, workers.base + 1, silent, "round/1")
         workers.tick(LAST)
-        workers.health.active_since = 0.0  # the leader has attended all the time
+        workers.health.active_since = 0.0  # the leader has handled heartbeats all the time
         await test(workers, new_fleet(workers, None), silent)
 
     asyncio.run(run())
 
 
 async def pass_time(workers: Workers, until: float, others_heard: int = 9) -> None:
-    """Second by second; all others but the silent one report, or only so many of them."""
+    """Tick second by second; so many of the other machines send heartbeats."""
     for now in range(int(workers.health.last_tick) + 1, int(until) + 1):
         for number in range(2, 2 + others_heard):
             workers.cluster.machines[f"m-{number}"].last_heard = float(now)
@@ -78,33 +78,33 @@
     return [machine.name for machine in fleet._to_delete(now)]
 
 
-def test_a_machine_that_answers_no_probe_is_deleted_soon() -> None:
-    """A replica was missed for 14 s before its silent machine was deleted."""
+def test_a_machine_that_answers_no_probe_is_deleted_before_its_silence_alone_allows() -> None:
+    """Regression: a replica was missing for 14 s before its silent machine was deleted."""
 
     async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 6.0)
-        assert Line.asked == []  # its report may still come
+        assert FakeHttpClient.asked == []  # its heartbeat may still come
         await pass_time(workers, LAST + 8.0)
-        assert Line.asked == [silent.addr, silent.addr]
+        assert FakeHttpClient.asked == [silent.addr, silent.addr]
         assert deleted(fleet, LAST + 8.0) == ["m-1"]
         assert workers.health.lost_s() > 8.0
 
     play(test)
 
 
-def test_a_machine_that_answers_is_waited_for() -> None:
+def test_a_machine_that_answers_probes_is_deleted_only_after_long_silence() -> None:
     async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
-        Line.answers = True
+        FakeHttpClient.answers = True
         await pass_time(workers, LAST + 12.0)
-        assert Line.asked and deleted(fleet, LAST + 12.0) == []
+        assert FakeHttpClient.asked and deleted(fleet, LAST + 12.0) == []
         later = LAST + workers.health.lost_s() + 1.0
         await pass_time(workers, later)
-        assert deleted(fleet, later) == ["m-1"]  # alive, but it reaches no controller
+        assert deleted(fleet, later) == ["m-1"]  # it exists, but its heartbeats reach no controller
 
     play(test)
 
 
-def test_a_report_ends_the_suspicion() -> None:
+def test_a_heartbeat_resets_the_failed_probes() -> None:
     async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 8.0)
         silent.last_heard = LAST + 8.5
@@ -115,12 +115,12 @@
     play(test)
 
 
-def test_silence_of_many_is_not_their_fault() -> None:
-    """Nor is one that reports to another controller: the trouble lies between it and us."""
+def test_no_machine_is_probed_or_deleted_while_many_are_silent() -> None:
+    """Nor is one deleted that sends heartbeats to another controller: this one is cut off."""
 
     async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 9.0, others_heard=5)
-        assert Line.asked == []
+        assert FakeHttpClient.asked == []
         silent.failed_probes = 2
         assert deleted(fleet, LAST + 9.0) == []
         await pass_time(workers, LAST + 9.0)
@@ -130,13 +130,13 @@
     play(test)
 
 
-def test_only_machines_with_replicas_are_asked() -> None:
-    """Other work loses more by a deletion too many than it wins by one sooner."""
+def test_only_machines_with_replicas_are_probed() -> None:
+    """Other work loses more by a needless deletion than it gains by an earlier one."""
 
     async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
         workers.cluster.release(next(iter(silent.attempts.values())), LAST)
         await pass_time(workers, LAST + 9.0)
-        assert Line.asked == []
+        assert FakeHttpClient.asked == []
         assert deleted(fleet, LAST + 9.0) == []
 
     play(test)
--- a/tests/unit/test_ranges.py
+++ b/tests/unit/test_ranges.py
@@ -1,4 +1,4 @@
-"""Ranges against a plain set."""
+"""Ranges compared with a plain set."""
 
 import itertools
 import random
@@ -24,7 +24,7 @@
             assert len(ranges) == len(plain)
             assert [n in ranges for n in range(50)] == [n in plain for n in range(50)]
             assert ranges.first(3) == sorted(plain)[:3]
-            # Neighbouring spans are merged: records stay as short as can be.
+            # Adjacent spans are merged, which keeps records short.
             spans = ranges.spans
             assert all(a[1] < b[0] for a, b in itertools.pairwise(spans))
         assert list(Ranges(ranges.to_record())) == sorted(plain)
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -1,4 +1,4 @@
-"""What reports prove and what they don't: deaf machines, late copies, sessions."""
+"""What heartbeats show and what they do not: missing acknowledgement, delayed copies, epochs."""
 
 from __future__ import annotations
 
@@ -60,7 +60,7 @@
 
 
 def new_workers(now: float) -> Workers:
-    """Those of a leader that took over at this time and may act."""
+    """Those of a leader whose failover was at this time and whose leader lease is valid."""
     cluster = ClusterState(TERM, first_attempt(TERM))
     cluster.types = {"g": KIND}
     settings = WorkerSettings(5.0, 24.0, 40.0, 4.0, 40.0)
@@ -68,7 +68,7 @@
 
 
 def new_fleet(workers: Workers, cloud: Any) -> Autoscaler:
-    """Idle machines are held for ever, unless a test says otherwise; nothing is written."""
+    """An autoscaler that keeps idle machines; nothing is written."""
     params = Params(workers.settings, StateSettings(9, 9, 8, 9), CloudSettings(4, 4), [Team("t")])
     writer: Any = None
     return Autoscaler(
@@ -77,7 +77,7 @@
 
 
 def new_placement(workers: Workers, writer: Any) -> Placement:
-    """Rounds of a leader that may act, for a team without limits."""
+    """Placement of an active leader, for a team without limits."""
     state = StateSettings(100.0, 50.0, 2.0, 4)
     params = Params(workers.settings, state, CloudSettings(4.0, 4.0), [Team("t")])
     demand: Any = SimpleNamespace(note_unplaced=lambda plan: None)
@@ -98,15 +98,16 @@
     asyncio.run(run())
 
 
-def known(workers: Workers) -> Machine:
-    """A machine that has reported twice and shown our token."""
+def confirmed_machine(workers: Workers) -> Machine:
+    """A confirmed machine: its second heartbeat has shown a fencing token of this term."""
     workers.handle_heartbeat(report(1, 1, 0), 1.0)
     workers.tick(2.0)
     workers.handle_heartbeat(report(1, 2, workers.base), 6.0)
     return workers.cluster.machines["m-1"]
 
 
-def booked(workers: Workers, number: int) -> Attempt:
+def sent_attempt(workers: Workers, number: int) -> Attempt:
+    """An attempt on m-1 whose start command was sent."""
     job = workers.cluster.jobs["j-1"] = Job(spec(id="j-1"))
     machine = workers.cluster.machine("m-1", "g", "a", False, MachinePhase.RECOVERED, 0.0)
     attempt = workers.cluster.allocate(job, 0, number, machine, "round/1")
@@ -114,19 +115,19 @@
     return attempt
 
 
-def test_a_machine_that_reports_but_gets_nothing_takes_no_new_work() -> None:
+def test_a_machine_that_does_not_acknowledge_answers_takes_no_new_work() -> None:
     def test(workers: Workers) -> None:
-        machine = known(workers)
+        machine = confirmed_machine(workers)
         assert machine.is_schedulable
         workers.tick(7.0)
         assert workers.handle_heartbeat(report(1, 3, workers.fencing_token - 1), 11.0)[0] == 200
-        assert machine.is_schedulable  # it has seen the answer to its last report
+        assert machine.is_schedulable  # it has received the answer to its previous heartbeat
         answered = workers.fencing_token
         workers.tick(12.0)
         workers.handle_heartbeat(report(1, 4, answered - 1), 17.0)
         assert not machine.is_schedulable
         assert machine.unacknowledged_since == 11.0
-        # Its session rises, since its lease ended; that alone makes it no better.
+        # Its epoch rises since its lease expired; that alone acknowledges nothing.
         workers.handle_heartbeat(report(2, 5, answered - 1), 35.0)
         assert not machine.is_schedulable
         workers.tick(36.0)
@@ -136,25 +137,27 @@
     play(test)
 
 
-def test_when_most_machines_are_deaf_it_is_our_own_trouble() -> None:
+def test_a_leader_whose_answers_are_lost_while_others_get_heartbeats_is_partitioned() -> None:
     def test(workers: Workers) -> None:
-        machine = known(workers)
+        machine = confirmed_machine(workers)
         workers.tick(7.0)
         workers.health.elsewhere = lambda: {"m-1": (1, 3)}
         assert not workers.health.is_partitioned(7.0)
         workers.handle_heartbeat(report(1, 4, 0), 8.0)
         assert machine.unacknowledged_since == 6.0
-        assert not workers.health.is_partitioned(8.0)  # what it sent elsewhere was before that
+        assert not workers.health.is_partitioned(
+            8.0
+        )  # its heartbeat to the other controller is older
         workers.health.elsewhere = lambda: {"m-1": (1, 5)}
         assert workers.health.is_partitioned(8.0)
 
     play(test)
 
 
-def test_a_late_copy_is_no_answer_and_no_sign_of_life() -> None:
+def test_a_delayed_copy_of_a_heartbeat_renews_no_lease() -> None:
     def test(workers: Workers) -> None:
-        machine = known(workers)
-        attempt = booked(workers, workers.cluster.new_attempt_number())
+        machine = confirmed_machine(workers)
+        attempt = sent_attempt(workers, workers.cluster.new_attempt_number())
         workers.handle_heartbeat(report(1, 3, workers.fencing_token, [running(attempt)]), 10.0)
         for copy in (
             report(1, 2, workers.fencing_token),
@@ -173,23 +176,23 @@
     play(test)
 
 
-def test_a_copy_of_an_ended_session_that_comes_first_frees_nothing() -> None:
-    """After a take-over there is nothing to compare it with; the real report follows."""
+def test_a_delayed_copy_of_an_earlier_epoch_that_comes_first_releases_nothing() -> None:
+    """After a failover there is nothing to compare it with; the current heartbeat follows."""
 
     def test(workers: Workers) -> None:
-        attempt = booked(workers, first_attempt(TERM - 1) + 1)  # ran in session 2 all along
+        attempt = sent_attempt(workers, first_attempt(TERM - 1) + 1)  # runs in epoch 2
         workers.handle_heartbeat(report(1, 9, fencing_token(TERM - 1, 3)), 1.0)
         assert attempt.phase is AttemptPhase.SENT
         workers.handle_heartbeat(report(2, 12, fencing_token(TERM - 1, 8), [running(attempt)]), 2.0)
         assert attempt.phase is AttemptPhase.RUNNING
-        # Seen in session 2, it is gone in session 3, whatever token that shows.
+        # Seen in epoch 2, it is gone in epoch 3, whatever token that heartbeat shows.
         workers.handle_heartbeat(report(3, 20, fencing_token(TERM - 1, 8)), 30.0)
         assert attempt.phase is AttemptPhase.GONE
 
     play(test)
 
 
-def test_a_copy_of_a_report_is_no_sign_of_life() -> None:
+def test_a_copy_of_a_redirected_heartbeat_does_not_count_as_a_new_one() -> None:
     async def run() -> None:
         peers = lone_peers()
         peers.note_redirected("m-1", (1, 7), 0.0)
@@ -203,7 +206,61 @@
     asyncio.run(run())
 
 
-def test_orders_that_may_wait_go_out_directly_only_while_few_do() -> None:
+def test_a_stopped_attempt_is_absent_only_once_its_direct_start_cannot_arrive() -> None:
+    def test(workers: Workers) -> None:
+        machine = confirmed_machine(workers)
+        job = workers.cluster.jobs["j-1"] = Job(spec(id="j-1"))
+        number = workers.cluster.new_attempt_number()
+        attempt = workers.cluster.allocate(job, 0, number, machine, "round/1")
+        attempt.enter(AttemptPhase.INTENDED, 6.0)
+        message = workers.commands_due(machine)
+        assert message is not None
+        assert [command["writ"] for command in message["writs"]] == ["start"]
+        workers.stop(attempt, 0.0, 7.0)
+        sent_token = workers.fencing_token
+        workers.tick(8.0)
+        workers.handle_heartbeat(report(1, 3, sent_token), 11.0)
+        assert attempt.phase is AttemptPhase.SENT  # the worker may still carry it out
+        workers.handle_heartbeat(report(1, 4, workers.fencing_token), 16.0)
+        assert attempt.phase is AttemptPhase.GONE  # it refuses the start by now
+        workers.close()
+
+    play(test)
+
+
+def test_unknown_tasks_are_stopped_with_every_answer() -> None:
+    def test(workers: Workers) -> None:
+        confirmed_machine(workers)
+        unknown = TaskStatus("j-9", 3, workers.base + 7, TaskState.RUNNING, None, False)
+        stop = {"writ": "stop", "parcel": "j-9/3", "try": workers.base + 7, "leave_s": 0.0}
+        for sequence in (3, 4):
+            heartbeat = report(1, sequence, workers.fencing_token, [unknown])
+            response = workers.handle_heartbeat(heartbeat, 5.0 * sequence)
+            assert response.status == 200
+            assert response.body == {"mandate": workers.fencing_token, "writs": [stop]}
+        response = workers.handle_heartbeat(report(1, 5, workers.fencing_token), 25.0)
+        assert response.body == {"mandate": workers.fencing_token, "writs": []}
+
+    play(test)
+
+
+def test_an_exit_is_forgotten_once_its_start_cannot_arrive() -> None:
+    def test(workers: Workers) -> None:
+        confirmed_machine(workers)
+        number = workers.base + 7  # of this term, but not in the cluster state any more
+        ended = TaskStatus("j-9", 3, number, TaskState.EXITED, ExitReason.ERROR, False)
+        forget = {"writ": "forget", "parcel": "j-9/3", "try": number}
+        token = workers.fencing_token
+        response = workers.handle_heartbeat(report(1, 3, token, [ended]), 7.0)
+        assert response.body == {"mandate": token, "writs": []}
+        workers.tick(8.0)
+        response = workers.handle_heartbeat(report(1, 4, token, [ended]), 11.0)
+        assert response.body == {"mandate": workers.fencing_token, "writs": [forget]}
+
+    play(test)
+
+
+def test_deferrable_commands_are_sent_directly_only_within_their_rate_limit() -> None:
     def test(workers: Workers) -> None:
         machines = []
         for number in range(3 * int(constants.DEFERRABLE_COMMANDS)):
@@ -220,8 +277,8 @@
     play(test)
 
 
-def test_however_many_machines_report_elsewhere_all_are_named() -> None:
-    """A ping once named 500 at most: the other live machines looked silent and were deleted."""
+def test_a_ping_names_all_machines_with_redirected_heartbeats() -> None:
+    """Regression: it named 500 at most, and the other live machines were deleted as silent."""
 
     async def run() -> None:
         peers = lone_peers()
@@ -230,45 +287,43 @@
         asked = await peers.serve(Request("GET", "/ping", "knocks", b""))
         assert len(orjson.loads(asked.body)["knocks"]) == 970
         plain = await peers.serve(Request("GET", "/ping", "", b""))
-        assert "knocks" not in orjson.loads(plain.body)  # of use to a leader only
+        assert "knocks" not in orjson.loads(plain.body)  # only a leader needs them
 
     asyncio.run(run())
 
 
-def test_what_a_report_says_again_is_taken_as_said() -> None:
-    """Unchanged tasks are passed over; their absence, or a change, is still noticed."""
-
+def test_an_unchanged_task_status_is_skipped_but_its_change_or_absence_is_applied() -> None:
     def test(workers: Workers) -> None:
-        machine = known(workers)
-        attempt = booked(workers, workers.cluster.new_attempt_number())
+        machine = confirmed_machine(workers)
+        attempt = sent_attempt(workers, workers.cluster.new_attempt_number())
         wire = {"parcel": "j-1/0", "try": attempt.number, "standing": "running"}
         raw = {"hall": "m-1", "endpoint": "10.1.0.1:9", "build": "g", "ward": "a", "tenure": 1}
 
-        def hear(seq: int, parcels: list[dict[str, object]]) -> None:
-            said = raw | {"tick": seq, "mandate": workers.fencing_token, "parcels": parcels}
-            workers.handle_heartbeat(decode_heartbeat(said), float(seq))
+        def receive(seq: int, parcels: list[dict[str, object]]) -> None:
+            message = raw | {"tick": seq, "mandate": workers.fencing_token, "parcels": parcels}
+            workers.handle_heartbeat(decode_heartbeat(message), float(seq))
 
         for seq in (11, 12, 13):
-            hear(seq, [dict(wire)])
+            receive(seq, [dict(wire)])
             assert attempt.phase is AttemptPhase.RUNNING
             assert list(machine.attempts.values()) == [attempt]
-        hear(14, [wire | {"standing": "flushing"}])
+        receive(14, [wire | {"standing": "flushing"}])
         assert attempt.phase is AttemptPhase.CHECKPOINTING
-        hear(15, [])
+        receive(15, [])
         assert attempt.phase is AttemptPhase.GONE
 
     play(test)
 
 
-def test_machines_that_hear_nothing_or_are_only_late_copies_are_returned() -> None:
+def test_machines_that_acknowledge_nothing_or_fall_silent_are_deleted() -> None:
     def test(workers: Workers) -> None:
         fleet = new_fleet(workers, None)
 
-        def returned(now: float) -> list[str]:
+        def to_delete(now: float) -> list[str]:
             return [m.name for m in fleet._to_delete(now)]
 
-        machine = known(workers)  # its last answer left at 6 s
-        for number in range(2, 6):  # others, so that the fault is not ours
+        machine = confirmed_machine(workers)  # its latest answer was given at 6 s
+        for number in range(2, 6):  # others, so that this leader is not partitioned
             for seq, at in ((1, 1.0), (2, 6.0)):
                 workers.handle_heartbeat(
                     report(1, seq, workers.fencing_token, machine=f"m-{number}"), at
@@ -282,17 +337,17 @@
             for other in workers.cluster.machines.values():
                 if other.name != "m-9":
                     other.last_heard = now
-        assert returned(20.0) == []
-        assert returned(21.0) == ["m-1"]  # deaf for more than lost_s()
-        # One report and no more, under an old mandate: silent, then not there at all.
-        assert returned(23.0) == ["m-1", "m-9"]
+        assert to_delete(20.0) == []
+        assert to_delete(21.0) == ["m-1"]  # unacknowledged for more than lost_s()
+        # Only one heartbeat, under an old fencing token: it is silent, then taken as gone.
+        assert to_delete(23.0) == ["m-1", "m-9"]
 
     play(test)
 
 
-def test_the_caches_of_many_machines_share_few_records_and_are_recalled() -> None:
-    """One record for each machine cost hundreds of changes when a new image came to all; a
-    record that kept too few images of each had them fetched again after a take-over."""
+def test_cached_images_of_many_machines_share_few_records_and_are_restored() -> None:
+    """Regression: one record for each machine cost hundreds of writes when all fetched a new
+    image; with too few images in a record, machines fetched them again after a failover."""
 
     async def run() -> None:
         store = StateSettings(100.0, 50.0, 8.0, 12)
@@ -316,14 +371,14 @@
             machine = workers.cluster.machines[f"m-{number}"]
             machine.images.clear()
             later.recall(machine)
-            assert "img-19" in machine.images  # the latest of all
+            assert "img-19" in machine.images  # the most recently used
             assert len(machine.images) >= 12
 
     asyncio.run(run())
 
 
-def test_a_machine_has_no_more_tasks_than_a_report_has_room_for() -> None:
-    """Hundreds of tiny tasks on one machine, and as many ends not yet forgotten."""
+def test_answers_carry_at_most_as_many_commands_as_a_message_may_hold() -> None:
+    """Hundreds of tiny tasks on one machine: the next answer carries the starts that are left."""
 
     async def run() -> None:
         workers = new_workers(0.0)
@@ -339,33 +394,33 @@
             workers.cluster.allocate(job, task, number, machine, "r").enter(
                 AttemptPhase.INTENDED, 6.0
             )
-        told = []
+        commands = []
         for seq in (3, 4):
             workers.tick(4.0 + seq)
             seen = [
                 TaskStatus(x["parcel"][:8], int(x["parcel"][9:]), x["try"], TaskState.RUNNING,
                            None, False)
-                for x in told
+                for x in commands
             ]  # fmt: skip
             answer = workers.handle_heartbeat(
                 report(1, seq, workers.fencing_token, seen), 5.0 + seq
             )[1]
             assert answer is not None
             assert json_size(answer) < 60 * 1024
-            told += answer["writs"]
-        assert len({x["parcel"] for x in told}) == constants.MACHINE_TASKS + 50
+            commands += answer["writs"]
+        assert len({x["parcel"] for x in commands}) == constants.MACHINE_TASKS + 50
         assert workers.reported_task_count(machine) == constants.MACHINE_TASKS + 50
 
     asyncio.run(run())
 
 
-def test_a_replica_is_never_done_and_runs_again() -> None:
-    """Whatever a report says of its end. On a machine that is to be emptied it runs on until its
-    next place is booked (tests/unit/test_placement.py)."""
+def test_a_replica_is_never_done_and_its_task_is_pending_again() -> None:
+    """Whatever exit reason is reported. On a draining machine it runs until its replacement is
+    reserved (tests/unit/test_placement.py)."""
 
     def test(workers: Workers) -> None:
         now = workers.loop.time()
-        machine = known(workers)
+        machine = confirmed_machine(workers)
         job = workers.cluster.jobs["j-1"] = Job(spec(tasks=2, daemon=True), now)
         first, second = (
             workers.cluster.allocate(job, task, workers.base + 1, machine, "round/1")
@@ -374,10 +429,10 @@
         for attempt in (first, second):
             attempt.enter(AttemptPhase.RUNNING, now)
         ended = TaskStatus("j-1", 0, workers.base + 1, TaskState.EXITED, ExitReason.DONE, False)
-        told = workers.exit_handler.handle(machine, ended, first, None, now)
-        assert (len(job.done), job.phase, told.done) == (0, JobPhase.ACTIVE, False)
+        exited = workers.exit_handler.handle(machine, ended, first, None, now)
+        assert (len(job.done), job.phase, exited.done) == (0, JobPhase.ACTIVE, False)
         assert list(job.pending) == [0] and list(job.attempts) == [1]
-        workers.quarantine(machine, "sick")
+        workers.quarantine(machine, "unhealthy")
         assert machine.phase is MachinePhase.DRAINING
         assert not second.stopping
 
