--- a/peathall/cluster/machine.py
+++ b/peathall/cluster/machine.py
@@ -9,6 +9,10 @@
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec
 
+# Epoch and sequence before the first heartbeat of the term: lower than those of any heartbeat.
+NO_HEARTBEAT = (0, -1)
+
+# Phases of attempts whose image is not known to be on the machine yet.
 PHASES_BEFORE_IMAGE = (
     AttemptPhase.PLANNED,
     AttemptPhase.INTENDED,
@@ -82,10 +86,9 @@
         self.free_cpus = self.free_gpus = self.free_ram = 0.0
         # Epoch and sequence of the latest heartbeat that was applied, which may have come as the
         # response to direct commands, ...
-        self.epoch = 0
-        self.sequence = -1
+        self.epoch, self.sequence = NO_HEARTBEAT
         # ... and of the latest one that was received as a request.
-        self.last_received = (0, -1)
+        self.last_received = NO_HEARTBEAT
         self.last_response_token = 0  # fencing token of the latest answer to a heartbeat
         self.last_response_at = 0.0  # when that answer was given
         self.unacknowledged_since: float | None = None  # time of the answer that it did not get
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from peathall import constants
-from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.machine import NO_HEARTBEAT, Machine, MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import WorkerSettings
 
@@ -108,7 +108,7 @@
         all that this leader received. A delayed copy of an old one does not show that it lives.
         """
         elsewhere = self.elsewhere()
-        return lambda machine: elsewhere.get(machine.name, (0, -1)) > machine.last_received
+        return lambda machine: elsewhere.get(machine.name, NO_HEARTBEAT) > machine.last_received
 
     def expected(self) -> list[Machine]:
         """Machines that should send heartbeats, known from heartbeats or only from records."""
--- a/peathall/workers/heartbeats.py
+++ b/peathall/workers/heartbeats.py
@@ -5,7 +5,7 @@
 import logging
 from typing import Any, NamedTuple
 
-from peathall.cluster.machine import Machine, MachinePhase
+from peathall.cluster.machine import NO_HEARTBEAT, Machine, MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.protocol.heartbeats import Heartbeat, encode_heartbeat_response
 from peathall.workers.commands import DueCommands
@@ -15,8 +15,6 @@
 
 log = logging.getLogger("peathall.workers")
 
-NO_HEARTBEAT = (0, -1)  # `Machine.last_received` before the first heartbeat of the term
-
 
 class HeartbeatResponse(NamedTuple):
     """The answer to a heartbeat: HTTP status and encoded body."""
