--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -1,11 +1,11 @@
-"""Calls to the cloud, within its budget of requests."""
+"""The client of the cloud's machine API, within its rate limit."""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
+from http import HTTPStatus
 from typing import Any
-from urllib.parse import quote
 
 from peathall import constants
 from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
@@ -13,26 +13,42 @@
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
 from peathall.protocol.cloud import (
+    DELETE_MACHINES_PATH,
+    MACHINE_TYPES_PATH,
+    MACHINES_PATH,
     ListedMachine,
     MachineType,
-    listed_from_wire,
-    machine_type_from_wire,
+    decode_machine_page,
+    decode_machine_types,
+    decode_provisioned_machines,
+    encode_deletion,
+    encode_provision_request,
+    is_capacity_error,
+    machine_page_path,
 )
 from peathall.store.token_bucket import TokenBucket
 
+# Looked up once: in Python 3.11 each access to a member of an enum class takes some 0.4 us.
+OK = HTTPStatus.OK
+SERVICE_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
+
 
 class CloudClient:
-    """The cloud's calls. Errors are CloudError; room refused is NoCapacityError."""
+    """Requests to the cloud; they raise CloudError, or NoCapacityError if it has no capacity.
+
+    `may_send` is asked before each request; `share` is this client's part of the rate limit.
+    """
 
     def __init__(
         self, addr: str, settings: CloudSettings, may_send: Callable[[], bool], share: float = 1.0
     ) -> None:
         self.http = HttpClient(addr, may_send=may_send)
-        self.loop = asyncio.get_running_loop()
-        self.budget = TokenBucket(settings.rps * share * 0.9, settings.rps * share)
+        self._loop = asyncio.get_running_loop()
+        self._rate_limit = TokenBucket(settings.rps * share * 0.9, settings.rps * share)
 
     async def _ask(self, method: str, path: str, value: Any = None, keep: float = 0.0) -> Any:
-        while (pause := self.budget.wait(1, self.loop.time(), keep)) > 0:
+        """The decoded answer; `keep` is the part of the burst to be left to other requests."""
+        while (pause := self._rate_limit.wait(1, self._loop.time(), keep)) > 0:
             await asyncio.sleep(pause)
         data = b"" if value is None else codec.cbor_bytes(value)
         try:
@@ -41,45 +57,40 @@
         except NoAnswerError as exc:
             raise CloudError(str(exc), exc.sent) from None
         except Exception as exc:
-            raise CloudError(f"garbled answer: {exc}", True) from None
-        if status == 503 and "capacity" in str((answer or {}).get("error", "")):
+            # Whatever a damaged answer makes the decoder raise, the request was sent.
+            raise CloudError(f"the cloud's answer cannot be decoded: {exc}", True) from None
+        if status == SERVICE_UNAVAILABLE and is_capacity_error(answer):
             raise NoCapacityError
-        if status != 200:
-            raise CloudError(f"cloud: {status}", False)
+        if status != OK:
+            raise CloudError(f"the cloud answered {method} {path} with status {status}", False)
         return answer
 
     async def types(self) -> list[MachineType]:
         """All machine types, with their prices as they are now."""
-        answer = await self._ask("GET", "/machine_types")
-        return [machine_type_from_wire(x) for x in answer["builds"]]
+        return decode_machine_types(await self._ask("GET", MACHINE_TYPES_PATH))
 
     async def machines(self) -> list[ListedMachine]:
         """The whole machine list, page by page."""
         found: list[ListedMachine] = []
         after = ""
         while True:
-            path = f"/hosts?most={constants.LIST_PAGE}" + (
-                f"&after={quote(after)}" if after else ""
-            )
-            # The first page waits as all calls do, or a busy cloud would never be looked at.
+            path = machine_page_path(constants.LIST_PAGE, after)
+            # The first page waits as all requests do, or the list would never be read while many
+            # others are waiting.
             raw = await self._ask("GET", path, keep=constants.LIST_KEEP if after else 0.0)
-            page = [listed_from_wire(x) for x in raw["halls"]]
-            found += page
-            if not raw.get("more") or not page:
+            page = decode_machine_page(raw)
+            found += page.machines
+            if not page.more or not page.machines:
                 return found
-            after = page[-1].name
+            after = page.machines[-1].name
 
-    async def provision(self, rental: ProvisionRequest) -> list[str]:
-        """Rent machines; a request repeated under its name rents nothing more."""
-        wire = {
-            "hire": rental.request,
-            "build": rental.type,
-            "ward": rental.zone,
-            "standby": rental.spot,
-            "how_many": rental.count,
-        }
-        return [str(x) for x in (await self._ask("POST", "/hosts", wire))["halls"]]
+    async def provision(self, request: ProvisionRequest, /) -> list[str]:
+        """Provision machines; repeating a request under its name provisions nothing more."""
+        body = encode_provision_request(
+            request.request, request.type, request.zone, request.spot, request.count
+        )
+        return decode_provisioned_machines(await self._ask("POST", MACHINES_PATH, body))
 
-    async def delete(self, machines: list[str]) -> None:
+    async def delete(self, machines: list[str], /) -> None:
         """Delete machines. Once this returns, they and everything on them are gone."""
-        await self._ask("POST", "/hosts/delete", {"halls": machines})
+        await self._ask("POST", DELETE_MACHINES_PATH, encode_deletion(machines))
--- a/peathall/peers/__init__.py
+++ b/peathall/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `peers`: what controllers tell one another."""
+"""Requests and pings between the controllers of one deployment."""
--- a/peathall/workers/commands.py
+++ b/peathall/workers/commands.py
@@ -4,18 +4,14 @@
 
 import asyncio
 from itertools import islice
-from typing import Any
 
 from peathall import constants
 from peathall.cluster.job import Attempt, AttemptPhase, JobPhase
 from peathall.cluster.machine import Machine, MachinePhase
-from peathall.protocol.heartbeats import forget_command, start_command, stop_command
+from peathall.protocol.heartbeats import Command, ForgetCommand, StartCommand, StopCommand
 from peathall.workers.attempt_tracking import AttemptTracking
 from peathall.workers.fencing import FencingTokenCounter
 
-# A command as it is encoded in an answer to a heartbeat, or sent directly.
-EncodedCommand = dict[str, Any]
-
 
 class DueCommands:
     """Chooses the commands that are due. Start commands that are chosen count as sent."""
@@ -27,21 +23,21 @@
         self.direct_starts = tracking.direct_starts
         self.loop = asyncio.get_running_loop()
 
-    def for_response(self, machine: Machine, now: float) -> list[EncodedCommand]:
+    def for_response(self, machine: Machine, now: float) -> list[Command]:
         """Commands for the answer to a heartbeat."""
         commands = self._attempt_commands(machine, now, direct=False)
         commands += self._forget_commands(machine, constants.MACHINE_TASKS - len(commands))
         for status in self.unknown_tasks.of(machine.name):
-            commands.append(stop_command(status.job, status.task, status.attempt, 0.0))
+            commands.append(StopCommand(status.job, status.task, status.attempt, 0.0))
         return commands
 
-    def for_delivery(self, machine: Machine, now: float) -> list[EncodedCommand]:
+    def for_delivery(self, machine: Machine, now: float) -> list[Command]:
         """Commands to send directly: starts and stops only, since the others can wait."""
         return self._attempt_commands(machine, now, direct=True)
 
-    def _attempt_commands(self, machine: Machine, now: float, direct: bool) -> list[EncodedCommand]:
+    def _attempt_commands(self, machine: Machine, now: float, direct: bool) -> list[Command]:
         """Starts and stops; at most as many as an answer may hold."""
-        commands: list[EncodedCommand] = []
+        commands: list[Command] = []
         usable = machine.confirmed and machine.phase in (MachinePhase.UP, MachinePhase.DRAINING)
         usable = usable and machine.unacknowledged_since is None
         running = AttemptPhase.RUNNING
@@ -53,9 +49,9 @@
             if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.GONE):
                 continue
             if attempt.stopping:
-                commands.append(stop_command(job_id, task, attempt.number, attempt.grace_s))
+                commands.append(StopCommand(job_id, task, attempt.number, attempt.grace_s))
             elif usable and self._may_start(attempt):
-                commands.append(start_command(job_id, task, attempt.number))
+                commands.append(StartCommand(job_id, task, attempt.number))
                 attempt.enter(AttemptPhase.SENT, now)
                 attempt.epoch = machine.epoch
                 if direct:
@@ -72,7 +68,7 @@
             and attempt.number >= self.tokens.lowest  # not of an earlier term
         )
 
-    def _forget_commands(self, machine: Machine, limit: int) -> list[EncodedCommand]:
+    def _forget_commands(self, machine: Machine, limit: int) -> list[ForgetCommand]:
         """For ended attempts that their machine need not report any more."""
         exits = islice(self.exits.forgettable(machine.name, self.tokens.current), max(0, limit))
-        return [forget_command(exited.job, exited.task, exited.number) for exited in exits]
+        return [ForgetCommand(exited.job, exited.task, exited.number) for exited in exits]
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -13,7 +13,7 @@
 from peathall.cluster.machine import Machine
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
-from peathall.protocol.heartbeats import Heartbeat, decode_heartbeat
+from peathall.protocol.heartbeats import COMMANDS_PATH, Heartbeat, decode_heartbeat
 from peathall.store.token_bucket import TokenBucket
 
 log = logging.getLogger("peathall.workers")
@@ -84,7 +84,7 @@
         if message is None or not self.is_leader():
             return
         status, raw = await self._client(machine.addr).request(
-            "POST", "/commands", codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
+            "POST", COMMANDS_PATH, codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
         )
         if status != 200:
             log.info("direct commands to machine %s refused: status %d", machine.name, status)
@@ -101,7 +101,9 @@
         if client is None:
             client = self._clients[addr] = HttpClient(addr, keep=1, may_send=self.is_leader)
         self._clients.move_to_end(addr)
-        idle = [a for a, other in self._clients.items() if not other.busy and other is not client]
+        idle = [
+            a for a, other in self._clients.items() if not other.in_flight and other is not client
+        ]
         for idle_addr in idle[: max(0, len(self._clients) - self.connections)]:
             self._clients.pop(idle_addr).close()
         return client
--- a/tests/sim/test_cells_command.py
+++ b/tests/sim/test_cells_command.py
@@ -11,12 +11,13 @@
 import pytest
 
 from peathall import cli
-from peathall.cells.model import Heartbeat, Offer, to_value
+from peathall.cells.model import CellHeartbeat, HandoffOffer
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.config.modes import Mode
 from peathall.http.client import HttpClient
 from peathall.http.message import Request, Response
 from peathall.operator_config.file import load_operator
+from peathall.protocol.codec import struct_to_builtins
 from tests.sim.cells_world import Cells, gang, play
 from tests.sim.net import Host
 from tests.sim.test_duties_command import check_refuses, controller
@@ -75,7 +76,7 @@
         ('cells { name: "north" lends: 3 }', "lends"),
     ],
 )
-def test_a_wrong_section_ends_the_start_with_one_line(
+def test_an_invalid_section_is_reported_in_one_line(
     text: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     check_refuses(text, named, tmp_path, capsys)
@@ -97,11 +98,13 @@
             work = client.request("POST", path, raw, 5.0)
             return await cells.loop.create_task(work, context=context)
 
-        beat = Heartbeat("cell-1", "cell-0", 10**9, 7, 0, 13.0)
-        heartbeat = orjson.dumps(to_value(beat) | {"a_field_of_later_versions": 1})
-        stranger = orjson.dumps(to_value(msgspec.structs.replace(beat, cell="cell-9")))
-        misdirected = orjson.dumps(to_value(msgspec.structs.replace(beat, to="cell-9")))
-        offer = orjson.dumps(to_value(Offer("cell-1", "cell-0", 1, 1, {"id": gang(1)["id"]})))
+        beat = CellHeartbeat("cell-1", "cell-0", 10**9, 7, 0, 13.0)
+        heartbeat = orjson.dumps(struct_to_builtins(beat) | {"a_field_of_later_versions": 1})
+        stranger = orjson.dumps(struct_to_builtins(msgspec.structs.replace(beat, cell="cell-9")))
+        misdirected = orjson.dumps(struct_to_builtins(msgspec.structs.replace(beat, to="cell-9")))
+        offer = orjson.dumps(
+            struct_to_builtins(HandoffOffer("cell-1", "cell-0", 1, 1, {"id": gang(1)["id"]}))
+        )
         assert (await post(leader, "/cells/heartbeat", heartbeat))[0] == 200
         assert (await post(leader, "/cells/heartbeat", heartbeat))[0] == 409
         assert (await post(leader, "/cells/heartbeat", b"{"))[0] == 400
@@ -112,7 +115,7 @@
         assert (await post(leader, "/cells/no-such", heartbeat))[0] == 404
         status, raw = await post((leader + 1) % 3, "/cells/heartbeat", heartbeat)
         assert (status, orjson.loads(raw)) == (421, {"leader": f"hall-{leader}"})
-        # Whoever is asked tells what the leader knows.
+        # Every controller answers with the leader's status.
         for at in range(3):
             status, raw = await post(at, "/cells", b"")
             assert status == 200
@@ -121,7 +124,7 @@
     play(850, day)
 
 
-def test_status_is_told_as_text_and_for_scripts(capsys: pytest.CaptureFixture[str]) -> None:
+def test_status_is_printed_as_text_and_as_json(capsys: pytest.CaptureFixture[str]) -> None:
     status = CellsStatus(
         "north",
         "hall-1",
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -14,7 +14,7 @@
 from peathall.http.client import NoAnswerError
 from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
-from tests.unit.test_workers import new_fleet, new_workers, report
+from tests.unit.test_workers import new_autoscaler, new_workers, report
 
 LAST = 6.0  # s; the latest heartbeat of the silent machine
 
@@ -59,7 +59,7 @@
         workers.cluster.allocate(job, 0, workers.base + 1, silent, "round/1")
         workers.tick(LAST)
         workers.health.active_since = 0.0  # the leader has handled heartbeats all the time
-        await test(workers, new_fleet(workers, None), silent)
+        await test(workers, new_autoscaler(workers, None), silent)
 
     asyncio.run(run())
 
@@ -74,41 +74,42 @@
             await asyncio.sleep(0)
 
 
-def deleted(fleet: Autoscaler, now: float) -> list[str]:
-    return [machine.name for machine in fleet._to_delete(now)]
+def deleted(autoscaler: Autoscaler, now: float) -> list[str]:
+    return [machine.name for machine in autoscaler.scale_in.machines_to_delete(now)]
 
 
 def test_a_machine_that_answers_no_probe_is_deleted_before_its_silence_alone_allows() -> None:
     """Regression: a replica was missing for 14 s before its silent machine was deleted."""
 
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 6.0)
         assert FakeHttpClient.asked == []  # its heartbeat may still come
         await pass_time(workers, LAST + 8.0)
         assert FakeHttpClient.asked == [silent.addr, silent.addr]
-        assert deleted(fleet, LAST + 8.0) == ["m-1"]
+        assert deleted(autoscaler, LAST + 8.0) == ["m-1"]
         assert workers.health.lost_s() > 8.0
 
     play(test)
 
 
 def test_a_machine_that_answers_probes_is_deleted_only_after_long_silence() -> None:
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         FakeHttpClient.answers = True
         await pass_time(workers, LAST + 12.0)
-        assert FakeHttpClient.asked and deleted(fleet, LAST + 12.0) == []
+        assert FakeHttpClient.asked and deleted(autoscaler, LAST + 12.0) == []
         later = LAST + workers.health.lost_s() + 1.0
         await pass_time(workers, later)
-        assert deleted(fleet, later) == ["m-1"]  # it exists, but its heartbeats reach no controller
+        # It exists, but its heartbeats reach no controller.
+        assert deleted(autoscaler, later) == ["m-1"]
 
     play(test)
 
 
 def test_a_heartbeat_resets_the_failed_probes() -> None:
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 8.0)
         silent.last_heard = LAST + 8.5
-        assert deleted(fleet, LAST + 9.0) == []
+        assert deleted(autoscaler, LAST + 9.0) == []
         workers.tick(LAST + 9.0)
         assert silent.failed_probes == 0
 
@@ -118,14 +119,14 @@
 def test_no_machine_is_probed_or_deleted_while_many_are_silent() -> None:
     """Nor is one deleted that sends heartbeats to another controller: this one is cut off."""
 
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         await pass_time(workers, LAST + 9.0, others_heard=5)
         assert FakeHttpClient.asked == []
         silent.failed_probes = 2
-        assert deleted(fleet, LAST + 9.0) == []
+        assert deleted(autoscaler, LAST + 9.0) == []
         await pass_time(workers, LAST + 9.0)
         workers.health.elsewhere = lambda: {"m-1": (1, 99)}
-        assert deleted(fleet, LAST + 9.0) == []
+        assert deleted(autoscaler, LAST + 9.0) == []
 
     play(test)
 
@@ -133,10 +134,10 @@
 def test_only_machines_with_replicas_are_probed() -> None:
     """Other work loses more by a needless deletion than it gains by an earlier one."""
 
-    async def test(workers: Workers, fleet: Autoscaler, silent: Machine) -> None:
+    async def test(workers: Workers, autoscaler: Autoscaler, silent: Machine) -> None:
         workers.cluster.release(next(iter(silent.attempts.values())), LAST)
         await pass_time(workers, LAST + 9.0)
         assert FakeHttpClient.asked == []
-        assert deleted(fleet, LAST + 9.0) == []
+        assert deleted(autoscaler, LAST + 9.0) == []
 
     play(test)
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -28,22 +28,25 @@
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.config.platform import parse
-from peathall.controller.controller import Controller, user_response
+from peathall.controller.controller import Controller
+from peathall.controller.user_routes import user_response
 from peathall.duties import model as duties
 from peathall.duties.service import Duties
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, DutyStatus
 from peathall.http.message import Request, Response
+from peathall.jobs.responses import JobResponse
 from peathall.leadership.election import LeaderRecord, TermRecord
 from peathall.operator_config.file import load_operator
 from peathall.operator_config.settings import Operator
-from peathall.protocol.cloud import machine_type_from_wire, machine_type_to_wire
+from peathall.protocol.cloud import decode_machine_type, encode_machine_type
 from peathall.protocol.heartbeats import (
+    Command,
+    ForgetCommand,
+    StartCommand,
+    StopCommand,
     encode_commands,
     encode_heartbeat_response,
-    forget_command,
-    start_command,
-    stop_command,
 )
 from peathall.protocol.jobs import JobStatus, encode_job_status, spec_to_record
 from peathall.store import client as store
@@ -71,7 +74,7 @@
         self.answers = list(answers)
         self.kind = kind
         self.calls: list[tuple[str, str, bytes]] = []
-        self.busy = False
+        self.in_flight = 0
 
     async def request(
         self, method: str, path: str, body: bytes, timeout: float
@@ -104,17 +107,17 @@
     def is_active(self) -> bool:
         return True
 
-    async def accept(self, spec: Any) -> Any:
+    async def accept(self, spec: Any) -> JobResponse:
         self.asked.append(spec_to_record(spec))
-        return self.answer
+        return JobResponse(*self.answer)
 
-    async def query(self, job_id: str) -> Any:
+    async def query(self, job_id: str) -> JobResponse:
         self.asked.append(("query", job_id))
-        return self.answer
+        return JobResponse(*self.answer)
 
-    async def cancel(self, job_id: str) -> Any:
+    async def cancel(self, job_id: str) -> JobResponse:
         self.asked.append(("cancel", job_id))
-        return self.answer
+        return JobResponse(*self.answer)
 
     async def handle_heartbeat(self, report: Any) -> Any:
         self.asked.append(report_values(report))
@@ -174,7 +177,7 @@
 async def from_outside(node: Any, method: str, path: str, value: Any = None) -> Response:
     """The answer to a user's or worker's request."""
     raw = b"" if value is None else encoded(value)
-    response: Response = await node._serve(Request(method, path, "", raw))
+    response: Response = await node.public_routes.serve(Request(method, path, "", raw))
     return response
 
 
@@ -183,7 +186,7 @@
 ) -> Response:
     """The answer to another controller's request."""
     raw = b"" if value is None else encoded(value, JSON)
-    response: Response = await node.peers.serve(Request(method, path, query, raw))
+    response: Response = await node.peer_server.serve(Request(method, path, query, raw))
     return response
 
 
@@ -563,7 +566,7 @@
     node = new_node()
     nothing_listed = {"items": [], "more": False, "epoch": 1}
     node.store.http = RecordedHttp((200, nothing_listed), (200, {"epoch": 1, "news": []}), answer)
-    node.follower_service.types = {"g8": machine_type_from_wire(BUILD)}
+    node.follower_service.set_types([decode_machine_type(BUILD)])
     return node, node.store.http
 
 
@@ -672,11 +675,11 @@
 FORGET = {"writ": "forget", "parcel": "j-000398/0", "try": 3}
 
 
-def writs() -> list[dict[str, Any]]:
+def writs() -> list[Command]:
     return [
-        start_command("j-000412", 4, 2),
-        stop_command("j-000377", 1, 1, 10.0),
-        forget_command("j-000398", 0, 3),
+        StartCommand("j-000412", 4, 2),
+        StopCommand("j-000377", 1, 1, 10.0),
+        ForgetCommand("j-000398", 0, 3),
     ]
 
 
@@ -775,7 +778,7 @@
         assert msgspec.structs.astuple(least) == (
             "c", 4.0, 0.0, 8.0, 0.0, 1.0, 0.0, 0.0, 60.0, [],
         )  # fmt: skip
-        check_bytes(encoded(machine_type_to_wire(full)), BUILD)
+        check_bytes(encoded(encode_machine_type(full)), BUILD)
 
     run(play)
     http.check(("GET", "/machine_types", None))
@@ -970,7 +973,7 @@
 def test_ping_is_sent_and_its_answer_understood(leads: bool, path: str) -> None:
     async def play() -> None:
         node = new_node()
-        node.peers.leads = lambda: leads
+        node.peers.is_leader = lambda: leads
         http = peer_answers(node, (200, {"leads": True, "knocks": {"m-000231": [1, 88]}}))
         await ping(node)
         http.check(("GET", path, None))
@@ -1065,7 +1068,8 @@
 
 
 def work() -> Any:
-    return duties.StoreWork("w-1", {"a/b": 0}, [duties.StoredValue("a/b", {"x": 1})], ["c/d"])
+    puts = [duties.StoredValue("a/b", {"x": 1})]
+    return duties.StoreTransaction("w-1", {"a/b": 0}, puts, ["c/d"])
 
 
 def handover() -> Any:
@@ -1077,21 +1081,21 @@
 
 
 def room() -> Any:
-    return cells.RoomRow("g8", "a", True, 8, 1, 64, 5)
+    return cells.CapacityRow("g8", "a", True, 8, 1, 64, 5)
 
 
 def offer() -> Any:
-    return cells.Offer("north", "south", 4, 2, RECORD)
+    return cells.HandoffOffer("north", "south", 4, 2, RECORD)
 
 
 def heartbeat() -> Any:
-    borrowed = cells.BorrowedItem("j-1", 2, cells.BorrowPhase("adopted"), True, 3)
-    return cells.Heartbeat("north", "south", 4, 6, 5, 23.5, [borrowed], [room()])
+    borrowed = cells.BorrowedJobStatus("j-1", 2, cells.BorrowPhase("adopted"), True, 3)
+    return cells.CellHeartbeat("north", "south", 4, 6, 5, 23.5, [borrowed], [room()])
 
 
 def heartbeat_answer() -> Any:
     ruling = cells.Ruling("j-1", 2, cells.Verdict("granted"), 30.0)
-    return cells.HeartbeatAnswer(5, [ruling], [room()])
+    return cells.CellHeartbeatResponse(5, [ruling], [room()])
 
 
 def user_request() -> Any:
@@ -1105,16 +1109,16 @@
     (rental(), RENTAL),
     (holder(), HOLDER),
     (duties.TokenRecord(3, [handover()]), {"token": 3, "latest": [HANDOVER]}),
-    (duties.ActRecord(3, 4), {"token": 3, "term": 4, **NO_ACT}),
+    (duties.ActionIntent(3, 4), {"token": 3, "term": 4, **NO_ACT}),
     (
-        duties.ActRecord(3, 4, rental(), deletion()),
+        duties.ActionIntent(3, 4, rental(), deletion()),
         {"token": 3, "term": 4, "rental": RENTAL, "deletion": DELETION},
     ),
     (
-        duties.ActRequest(duties.Duty("renting"), 3, 4, 9, rental(), deletion(), work()),
+        duties.ActionRequest(duties.Duty("renting"), 3, 4, 9, rental(), deletion(), work()),
         ACT_REQUEST,
     ),
-    (duties.ActAnswer(duties.Outcome("done"), ["m-1"], "x", 8, ["a/b"]), ACT_ANSWER),
+    (duties.ActionResult(duties.Outcome("done"), ["m-1"], "x", 8, ["a/b"]), ACT_ANSWER),
     (
         DutiesStatus(
             "hall-0", "hall-1", True,
@@ -1131,11 +1135,11 @@
         {"epoch": 2, "home": "north", "phase": "adopted", "job": RECORD},
     ),
     (offer(), OFFER),
-    (cells.OfferAnswer(True, "x", 5, 6, 23.5), OFFER_ANSWER),
+    (cells.HandoffOfferResponse(True, "x", 5, 6, 23.5), OFFER_ANSWER),
     (heartbeat(), HEARTBEAT),
     (heartbeat_answer(), HEARTBEAT_ANSWER),
     (user_request(), USER_REQUEST),
-    (cells.UserAnswer(200, QUEUED), USER_ANSWER),
+    (cells.UserResponse(200, QUEUED), USER_ANSWER),
     (
         CellsStatus(
             "north", "hall-1", [CellStatus("south", 1.5, 4)],
@@ -1173,7 +1177,7 @@
 
 def test_keys_between_controllers() -> None:
     duty = duties.Duty("renting")
-    assert (duties.MARK, duty.holder_key, duty.token_key, duty.act_prefix) == (
+    assert (duties.ENABLED_KEY, duty.holder_key, duty.token_key, duty.action_prefix) == (
         "duties/on", "duties/holder/renting", "duties/token/renting", "duty-act/renting/",
     )  # fmt: skip
     assert (cells.HANDOFF, cells.BORROWED) == ("handoff/", "borrowed/")
@@ -1281,7 +1285,7 @@
         lambda c: c.offer(offer()),
         OFFER_ANSWER,
         ("POST", "/cells/offer", OFFER),
-        cells.OfferAnswer(True, "x", 5, 6, 23.5),
+        cells.HandoffOfferResponse(True, "x", 5, 6, 23.5),
     ),
     (
         lambda c: c.heartbeat(heartbeat()),
@@ -1293,7 +1297,7 @@
         lambda c: c.user_request(user_request()),
         USER_ANSWER,
         ("POST", "/cells/user", USER_REQUEST),
-        cells.UserAnswer(200, QUEUED),
+        cells.UserResponse(200, QUEUED),
     ),
 ]
 
@@ -1343,7 +1347,7 @@
             return heartbeat_answer().rulings
 
         leader.borrower.reserve, leader.jobs.query = reserve, query
-        leader.home.heard = heard_beat
+        leader.home.handle_heartbeat = heard_beat
         found, value = await leader.serve(path, encoded(message, JSON))
         assert found == status
         check_bytes(encoded(value, JSON), expected, JSON)
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -21,7 +21,14 @@
 from peathall.autoscaling.actions import ProvisionRequest
 from peathall.cells.borrower import BorrowedJobs
 from peathall.cells.home import HomeHandoffs
-from peathall.cells.model import BorrowPhase, HandoffPhase, Offer, OfferAnswer, Ruling, Verdict
+from peathall.cells.model import (
+    BorrowPhase,
+    HandoffOffer,
+    HandoffOfferResponse,
+    HandoffPhase,
+    Ruling,
+    Verdict,
+)
 from peathall.cluster.job import Job, JobHealth
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.config.modes import Mode
@@ -29,7 +36,7 @@
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.executor import DutyExecutor
 from peathall.duties.gate import DutyGate
-from peathall.duties.model import ActRequest, Deletion, Duty, HolderRecord
+from peathall.duties.model import ActionRequest, Deletion, Duty, HolderRecord
 from peathall.duties.status import describe
 from peathall.jobs.follower import FollowerService
 from peathall.jobs.live_index import LiveJobIndex
@@ -47,7 +54,7 @@
 from peathall.workers.image_cache import ImageCacheRecords
 from tests.unit.test_jobs import PARAMS, leader
 from tests.unit.test_store import LIMITS, FakeStore
-from tests.unit.test_workers import new_fleet, new_workers
+from tests.unit.test_workers import new_autoscaler, new_workers
 
 TERM = 7
 LEASE = 71
@@ -357,7 +364,7 @@
             assert (gang.spec, service.spec) == (gang_spec(), service_spec())
             live = LiveJobIndex(jobs.store)
             await live.refresh()
-            assert live.held == {"j-41": 1, "j-42": 1}
+            assert live.record_counts == {"j-41": 1, "j-42": 1}
 
     play(test)
 
@@ -366,10 +373,10 @@
     async def test(store: RecordingStore) -> None:
         client: Any = store
         follower_service = FollowerService(client, PARAMS)
-        follower_service.types = {"g": machine_type()}
+        follower_service.set_types([machine_type()])
         assert (await follower_service.accept(gang_spec()))[0] == 201
         await follower_service.live.refresh()
-        assert follower_service.live.held == {"j-41": 1}
+        assert follower_service.live.record_counts == {"j-41": 1}
         async with leading(store) as jobs:
             jobs.load([item(JOB_KEY, GANG)], [], 3)
             assert jobs.cluster.jobs["j-41"].spec == gang_spec()
@@ -406,7 +413,7 @@
             assert gang.final_record_key == service.final_record_key == ENDS_KEY
             live = LiveJobIndex(jobs.store)
             await live.refresh()
-            assert [(job, x.status, x.done) for job, x in live.ends.items()] == [
+            assert [(job, x.status, x.done) for job, x in live.final_statuses.items()] == [
                 ("j-41", JobStatus.CANCELLED, 1), ("j-42", JobStatus.DONE, 3),
             ]  # fmt: skip
 
@@ -540,13 +547,13 @@
 
     async def test(store: RecordingStore) -> None:
         async with leading(store) as jobs:
-            fleet = new_fleet(new_workers(0.0), SimpleNamespace(types=types))
-            fleet.writer = jobs.writer
-            await fleet._refresh_types(0.0)
+            workers = new_workers(0.0)
+            autoscaler = new_autoscaler(workers, SimpleNamespace(types=types), jobs.writer)
+            await autoscaler.machine_types.refresh(0.0)
             await store.next_write("types")
-            fleet.cluster.types = {}
-            fleet.load_types(item("types", TYPES).value)
-            assert fleet.cluster.types == {"g": machine_type()}
+            workers.cluster.types = {}
+            autoscaler.load_types(item("types", TYPES).value)
+            assert workers.cluster.types == {"g": machine_type()}
 
     assert_written(play(test), {"types": [TYPES]})
 
@@ -557,15 +564,15 @@
         store.write("term", {"n": 7})
         await campaign(store, gate=Mode.ON)
         async with followed_board(store) as board:
-            assert board.mark == store.data["duties/on"][1]
+            assert board.enabled_version == store.data["duties/on"][1]
 
     assert_written(play(test), {"lead": [LEAD], "term": [{"n": 8}], "duties/on": [MARK]})
 
 
 DUTIES = [
-    ("renting", Duty.RENTING),
-    ("returning", Duty.RETURNING),
-    ("reclaiming", Duty.RECLAIMING),
+    ("renting", Duty.SCALE_OUT),
+    ("returning", Duty.SCALE_IN),
+    ("reclaiming", Duty.COMPACTION),
     ("cleanup", Duty.CLEANUP),
 ]
 
@@ -576,8 +583,18 @@
 
 @pytest.mark.parametrize(("name", "duty"), DUTIES)
 def test_holder_and_token_are_written_and_token_is_read(name: str, duty: Duty) -> None:
-    async def hold(tenure: Tenure) -> None:
-        assert tenure.holder.token == 5
+    class Holding:
+        """May claim at once."""
+
+        def may_claim(self) -> bool:
+            return True
+
+        def claim_delay_s(self) -> float:
+            return 0.0
+
+        async def hold(self, held: Duty, tenure: Tenure) -> None:
+            assert held is duty
+            assert tenure.holder.token == 5
 
     async def test(store: RecordingStore) -> None:
         client: Any = store
@@ -585,9 +602,8 @@
         store.write(f"duties/token/{name}", TOKEN_BEFORE)
         async with followed_board(store) as board:
             claim = DutyClaim(
-                duty, "hall-1", client, board, 20.0, lambda: WALL, random.Random(1),
-                lambda: True, lambda: 0.0, hold,
-            )  # fmt: skip
+                duty, "hall-1", client, board, 20.0, lambda: WALL, random.Random(1), Holding()
+            )
             clock: Any = SimpleNamespace(time=lambda: 100.0)
             claim.loop, board.vacant_since[duty] = clock, 97.5
             await claim._claim()
@@ -644,9 +660,9 @@
 
 
 ACTS = [
-    (RENTAL_KEY, RENTAL, Duty.RENTING, {"rental": rental()}, rental()),
+    (RENTAL_KEY, RENTAL, Duty.SCALE_OUT, {"provision": rental()}, rental()),
     (
-        DELETION_KEY, DELETION, Duty.RETURNING,
+        DELETION_KEY, DELETION, Duty.SCALE_IN,
         {"deletion": Deletion(name="d-7-1", machines=["m-1", "m-2"])}, ["m-1", "m-2"],
     ),
 ]  # fmt: skip
@@ -659,7 +675,7 @@
     async def test(store: RecordingStore) -> None:
         cloud = Cloud()
         async with holding(store, duty, cloud) as executor:
-            await executor.perform(ActRequest(duty, 5, TERM, store.data["lead"][1], **act))
+            await executor.perform(ActionRequest(duty, 5, TERM, store.data["lead"][1], **act))
         assert cloud.asked == [done]
 
     assert_written(play(test), {key: [value]})
@@ -689,9 +705,9 @@
 
 
 def test_a_handoff_is_written() -> None:
-    async def offer(made: Offer) -> OfferAnswer:
+    async def offer(made: HandoffOffer) -> HandoffOfferResponse:
         assert made.job == GANG
-        return OfferAnswer(reserved=True, term=1, sequence=1, lapse_s=25.0)
+        return HandoffOfferResponse(reserved=True, term=1, sequence=1, task_expiry_s=25.0)
 
     async def test(store: RecordingStore) -> None:
         async with leading(store) as jobs:
@@ -716,7 +732,7 @@
             home.load([item(HANDOFF_KEY, value)], 0.0)
             found = home.handoffs["j-41"]
             assert (found.cell, found.epoch, found.phase) == ("south", FIRST, phase)
-            told = found.lease and (found.lease.lease_s, found.lease.lapse_s)
+            told = found.lease and (found.lease.lease_s, found.lease.task_expiry_s)
             assert told == lease
 
     play(test)
@@ -740,8 +756,8 @@
     async def test(store: RecordingStore) -> None:
         async with leading(store) as jobs:
             borrower = borrower_of(jobs)
-            assert await borrower.reserve(Offer("north", "south", 3, FIRST, GANG)) is None
-            borrower.rule("north", Ruling("j-41", FIRST, Verdict.GRANTED, 600.0), 0.0)
+            assert await borrower.reserve(HandoffOffer("north", "south", 3, FIRST, GANG)) is None
+            borrower.apply_ruling("north", Ruling("j-41", FIRST, Verdict.GRANTED, 600.0), 0.0)
             await until(lambda: "j-41" in jobs.cluster.jobs)
             borrower.finish(jobs.cluster.jobs["j-41"])
             await store.next_write(BORROWED_KEY, 3)
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -7,8 +7,6 @@
 from types import SimpleNamespace
 from typing import Any
 
-import orjson
-
 from peathall import constants
 from peathall.autoscaling.autoscaler import Autoscaler
 from peathall.cluster.job import Attempt, AttemptPhase, Job, JobPhase
@@ -17,14 +15,11 @@
 from peathall.config.platform import (
     CloudSettings,
     Params,
-    Peer,
     StateSettings,
     Team,
     WorkerSettings,
 )
-from peathall.http.message import Request
 from peathall.leadership.lease import fencing_token, first_attempt
-from peathall.peers.service import Peers
 from peathall.placement.service import Placement
 from peathall.placement.views import MachineView
 from peathall.protocol.cloud import MachineType
@@ -67,13 +62,22 @@
     return Workers(cluster, settings, now, lambda: True, IgnoredEvents(), DeliveryLimits(9))
 
 
-def new_fleet(workers: Workers, cloud: Any) -> Autoscaler:
-    """An autoscaler that keeps idle machines; nothing is written."""
+class ActiveLeader:
+    """An active leader that ignores changes of the cluster state."""
+
+    def is_active(self) -> bool:
+        return True
+
+    def state_changed(self) -> None:
+        pass
+
+
+def new_autoscaler(
+    workers: Workers, cloud: Any, writer: Any = None, idle_hold_s: float = 1e6
+) -> Autoscaler:
+    """An autoscaler that keeps idle machines, unless a test says otherwise."""
     params = Params(workers.settings, StateSettings(9, 9, 8, 9), CloudSettings(4, 4), [Team("t")])
-    writer: Any = None
-    return Autoscaler(
-        workers.cluster, params, cloud, writer, workers, lambda: True, lambda: None, 1e6
-    )
+    return Autoscaler(workers.cluster, params, cloud, writer, workers, ActiveLeader(), idle_hold_s)
 
 
 def new_placement(workers: Workers, writer: Any) -> Placement:
@@ -84,13 +88,6 @@
     return Placement(workers.cluster, params, writer, workers, lambda: 0.0, lambda: True, [demand])
 
 
-def lone_peers() -> Peers:
-    async def handle(message: dict[str, object]) -> tuple[int, object]:
-        return 200, None
-
-    return Peers([Peer("hall-1", "a", "10.0.0.2:1")], handle, lambda: False)
-
-
 def play(test: Callable[[Workers], None]) -> None:
     async def run() -> None:
         test(new_workers(0.0))
@@ -192,20 +189,6 @@
     play(test)
 
 
-def test_a_copy_of_a_redirected_heartbeat_does_not_count_as_a_new_one() -> None:
-    async def run() -> None:
-        peers = lone_peers()
-        peers.note_redirected("m-1", (1, 7), 0.0)
-        assert peers.recently_redirected(1.0) == {"m-1": (1, 7)}
-        peers.note_redirected("m-1", (1, 7), 20.0)
-        peers.note_redirected("m-1", (1, 5), 20.0)
-        assert peers.recently_redirected(21.0) == {}
-        peers.note_redirected("m-1", (2, 1), 22.0)
-        assert peers.recently_redirected(23.0) == {"m-1": (2, 1)}
-
-    asyncio.run(run())
-
-
 def test_a_stopped_attempt_is_absent_only_once_its_direct_start_cannot_arrive() -> None:
     def test(workers: Workers) -> None:
         machine = confirmed_machine(workers)
@@ -277,21 +260,6 @@
     play(test)
 
 
-def test_a_ping_names_all_machines_with_redirected_heartbeats() -> None:
-    """Regression: it named 500 at most, and the other live machines were deleted as silent."""
-
-    async def run() -> None:
-        peers = lone_peers()
-        for number in range(970):
-            peers.note_redirected(f"m-{number}", (1, 7), peers.loop.time())
-        asked = await peers.serve(Request("GET", "/ping", "knocks", b""))
-        assert len(orjson.loads(asked.body)["knocks"]) == 970
-        plain = await peers.serve(Request("GET", "/ping", "", b""))
-        assert "knocks" not in orjson.loads(plain.body)  # only a leader needs them
-
-    asyncio.run(run())
-
-
 def test_an_unchanged_task_status_is_skipped_but_its_change_or_absence_is_applied() -> None:
     def test(workers: Workers) -> None:
         machine = confirmed_machine(workers)
@@ -317,10 +285,10 @@
 
 def test_machines_that_acknowledge_nothing_or_fall_silent_are_deleted() -> None:
     def test(workers: Workers) -> None:
-        fleet = new_fleet(workers, None)
+        autoscaler = new_autoscaler(workers, None)
 
         def to_delete(now: float) -> list[str]:
-            return [m.name for m in fleet._to_delete(now)]
+            return [m.name for m in autoscaler.scale_in.machines_to_delete(now)]
 
         machine = confirmed_machine(workers)  # its latest answer was given at 6 s
         for number in range(2, 6):  # others, so that this leader is not partitioned
