--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -21,6 +21,7 @@
 from peathall.leadership.term import LeaderTerm
 from peathall.placement.service import Placement
 from peathall.store.writer import Writer
+from peathall.workers.delivery import DeliveryLimits
 from peathall.workers.failing_jobs import FailingJobsRecord
 from peathall.workers.image_cache import ImageCacheRecords
 from peathall.workers.service import Workers
@@ -82,8 +83,10 @@
             now=asyncio.get_running_loop().time(),
             is_leader=self._state.is_active,
             listener=self.events,
-            connections=max(1, int(limits.fd_limit * constants.DIRECT_COMMAND_SOCKET_SHARE)),
-            deferrable_rate=constants.DEFERRABLE_COMMANDS * min(1.0, limits.cpu_share),
+            limits=DeliveryLimits(
+                connections=max(1, int(limits.fd_limit * constants.DIRECT_COMMAND_SOCKET_SHARE)),
+                deferrable_per_s=constants.DEFERRABLE_COMMANDS * min(1.0, limits.cpu_share),
+            ),
             elsewhere=self._context.heartbeats_elsewhere,
         )
 
