--- a/bench/cost.py
+++ b/bench/cost.py
@@ -25,7 +25,7 @@
 from peathall.protocol.jobs import JobSpec
 from peathall.workers.delivery import DeliveryLimits
 from peathall.workers.events import IgnoredEvents
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 KIND = MachineType("g", 64.0, 4.0, 256.0, 100.0, 1.0, 10.0, 3.0, 30.0, ["a", "b"])
 
--- a/peathall/autoscaling/autoscaler.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -10,8 +10,6 @@
 from peathall import constants
 from peathall.autoscaling.actions import ActionRouter, CloudActions, CloudError
 from peathall.autoscaling.machine_list import MachineList
-from peathall.autoscaling.machine_list import list_gap_s as list_gap_s
-from peathall.autoscaling.machine_types import TYPES as TYPES
 from peathall.autoscaling.machine_types import MachineTypes
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.autoscaling.provisioner import Provisioner
@@ -23,9 +21,9 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
-from peathall.placement.views import Plan
+from peathall.placement.plan import Plan
 from peathall.store.writer import Writer
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 log = logging.getLogger("peathall.autoscaling")
 
--- a/peathall/autoscaling/machine_list.py
+++ b/peathall/autoscaling/machine_list.py
@@ -11,7 +11,7 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import CloudSettings
 from peathall.protocol.cloud import ListedMachine, MachineState
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 
 def list_gap_s(machines: int, rps: float) -> float:
--- a/peathall/autoscaling/machine_types.py
+++ b/peathall/autoscaling/machine_types.py
@@ -10,7 +10,7 @@
 from peathall.cluster.state import ClusterState
 from peathall.protocol import codec
 from peathall.protocol.cloud import MachineType, decode_machine_types, encode_machine_types
-from peathall.store.client import Put
+from peathall.protocol.state_service import Put
 from peathall.store.writer import Writer
 
 TYPES = "types"  # key of the stored copy
--- a/peathall/autoscaling/scale_in_loop.py
+++ b/peathall/autoscaling/scale_in_loop.py
@@ -10,7 +10,7 @@
 from peathall.autoscaling.scale_in import CapacityShortage, ScaleInPolicy
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 
 class ScaleInLoop:
--- a/peathall/autoscaling/scale_out.py
+++ b/peathall/autoscaling/scale_out.py
@@ -8,7 +8,8 @@
 from msgspec import Struct
 
 from peathall.cluster.machine import Machine
-from peathall.placement.views import EPS, JobView, fits_in
+from peathall.placement.bin_packing import EPS, fits_in
+from peathall.placement.views import JobView
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec
 
--- a/peathall/autoscaling/scale_out_loop.py
+++ b/peathall/autoscaling/scale_out_loop.py
@@ -11,7 +11,8 @@
 from peathall.autoscaling.startup_times import StartupTimes
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
-from peathall.placement.views import JobView, Plan
+from peathall.placement.plan import Plan
+from peathall.placement.views import JobView
 from peathall.workers.health import MachineHealth
 
 
--- a/peathall/cells/borrowed_job.py
+++ b/peathall/cells/borrowed_job.py
@@ -5,8 +5,9 @@
 import logging
 
 from peathall import constants
-from peathall.cells.model import BORROWED, BorrowedJobStatus, BorrowPhase
+from peathall.cells.model import BorrowedJobStatus, BorrowPhase
 from peathall.cluster.job import Job
+from peathall.jobs.records import BORROWED
 from peathall.leadership.lease import LeaderLease
 from peathall.protocol.jobs import JobSpec
 
--- a/peathall/cells/capacity.py
+++ b/peathall/cells/capacity.py
@@ -7,7 +7,8 @@
 
 from peathall import constants
 from peathall.cells.model import CapacityRow
-from peathall.placement.views import MachineView, allowed, fits_in
+from peathall.placement.bin_packing import allowed, fits_in
+from peathall.placement.views import MachineView
 from peathall.protocol.jobs import JobSpec
 
 
--- a/peathall/cells/disabled.py
+++ b/peathall/cells/disabled.py
@@ -11,7 +11,7 @@
 
 from peathall.cluster.job import Job
 from peathall.jobs.responses import RETRY_LATER, JobResponse
-from peathall.placement.views import Plan
+from peathall.placement.plan import Plan
 from peathall.store.client import StoreClient
 
 
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -34,7 +34,8 @@
 from peathall.leadership.lease import first_attempt
 from peathall.protocol.codec import struct_to_builtins
 from peathall.protocol.jobs import spec_to_record
-from peathall.store.client import ConflictError, Delete, KeyValue, Put, StoreError
+from peathall.protocol.state_service import Delete, KeyValue, Put
+from peathall.store.errors import ConflictError, StoreError
 from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.cells")
--- a/peathall/cells/model.py
+++ b/peathall/cells/model.py
@@ -19,8 +19,6 @@
 
 from msgspec import Meta, Struct, field
 
-from peathall.jobs.records import BORROWED as BORROWED
-
 HANDOFF = "handoff/"
 
 Count = Annotated[int, Meta(ge=0)]
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -16,7 +16,7 @@
 from peathall.cells.errors import CellError
 from peathall.cells.heartbeats import CapacitySummary, HeartbeatSender
 from peathall.cells.home import HomeHandoffs
-from peathall.cells.model import BORROWED, HANDOFF, UserRequest
+from peathall.cells.model import HANDOFF, UserRequest
 from peathall.cells.requests import CellRequestHandler, CellResponse
 from peathall.cells.settings import CellSettings
 from peathall.cells.spilling import MachineCapacity, Spiller
@@ -24,12 +24,14 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.modes import Mode
 from peathall.config.platform import Params
+from peathall.jobs.records import BORROWED
 from peathall.jobs.responses import RETRY_LATER, JobResponse
 from peathall.jobs.service import Jobs
-from peathall.leadership.election import TERM_KEY, TermRecord
-from peathall.placement.views import Plan
+from peathall.leadership.records import TERM_KEY, TermRecord
+from peathall.placement.plan import Plan
 from peathall.protocol.codec import struct_to_builtins
-from peathall.store.client import KeyValue, Put, StoreClient
+from peathall.protocol.state_service import KeyValue, Put
+from peathall.store.client import StoreClient
 from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.cells")
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -17,8 +17,9 @@
 from peathall.cells.capacity import fits_whole
 from peathall.cells.model import CapacityRow
 from peathall.config.platform import Objective
+from peathall.placement.bin_packing import allowed
 from peathall.placement.capacity import free_in
-from peathall.placement.views import JobView, MachineView, allowed
+from peathall.placement.views import JobView, MachineView
 from peathall.protocol.jobs import JobSpec, Priority
 
 
--- a/peathall/cells/spilling.py
+++ b/peathall/cells/spilling.py
@@ -18,8 +18,9 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
 from peathall.jobs.background import BackgroundTasks
+from peathall.placement.plan import Plan
 from peathall.placement.quotas import TeamQuotas
-from peathall.placement.views import JobView, MachineView, Plan
+from peathall.placement.views import JobView, MachineView
 from peathall.protocol.jobs import JobSpec
 
 log = logging.getLogger("peathall.cells")
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from peathall import constants
-from peathall.autoscaling.autoscaler import TYPES
+from peathall.autoscaling.machine_types import TYPES
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.config.modes import Mode
 from peathall.config.platform import Settings, split_addr
@@ -21,7 +21,6 @@
 from peathall.controller.peer_routes import CellRoutes, DutyRoutes
 from peathall.controller.routes import PublicRoutes
 from peathall.controller.user_routes import UserRoutes
-from peathall.controller.user_routes import user_response as user_response
 from peathall.controller.worker_routes import WorkerRoutes
 from peathall.duties.gate import DutyGate
 from peathall.duties.settings import DutySettings
@@ -30,14 +29,16 @@
 from peathall.jobs.follower import FollowerService
 from peathall.leader.context import ControllerContext
 from peathall.leader.term import Leader
-from peathall.leadership.election import Election, LeaderTerm
+from peathall.leadership.election import Election
+from peathall.leadership.term import LeaderTerm
 from peathall.operator_config.settings import Operator
 from peathall.peers.client import Peers
 from peathall.peers.redirected_workers import RedirectedWorkers
 from peathall.peers.server import FeatureRoutes, PeerServer
 from peathall.protocol.cloud import decode_machine_types
 from peathall.protocol.heartbeats import task_status_cache
-from peathall.store.client import StoreClient, StoreError
+from peathall.store.client import StoreClient
+from peathall.store.errors import StoreError
 
 if TYPE_CHECKING:
     from peathall.duties.service import Duties
--- a/peathall/controller/job_requests.py
+++ b/peathall/controller/job_requests.py
@@ -16,7 +16,7 @@
 from peathall.leader.term import Leader
 from peathall.peers.client import Peers
 from peathall.peers.messages import AcceptRequest, JobRequest, QueryRequest
-from peathall.store.client import StoreError
+from peathall.store.errors import StoreError
 
 log = logging.getLogger("peathall.controller")
 
--- a/peathall/controller/peer_routes.py
+++ b/peathall/controller/peer_routes.py
@@ -18,7 +18,7 @@
 from peathall.peers.client import Peers
 from peathall.peers.messages import MalformedMessageError, PeerResponse
 from peathall.protocol.errors import encode_error
-from peathall.store.client import StoreError
+from peathall.store.errors import StoreError
 
 if TYPE_CHECKING:
     from peathall.duties.service import Duties
--- a/peathall/duties/board.py
+++ b/peathall/duties/board.py
@@ -9,7 +9,9 @@
 
 from peathall import constants
 from peathall.duties.model import DUTIES_PREFIX, ENABLED_KEY, HOLDER_PREFIX, Duty, HolderRecord
-from peathall.store.client import KeyValue, StoreClient, StoreError
+from peathall.protocol.state_service import KeyValue
+from peathall.store.client import StoreClient
+from peathall.store.errors import StoreError
 
 log = logging.getLogger("peathall.duties")
 
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -29,8 +29,10 @@
 )
 from peathall.leadership.lease import LeaderLease
 from peathall.protocol.codec import struct_to_builtins
-from peathall.store.client import ConflictError, LeaseExpiredError, Put, StoreClient, StoreError
-from peathall.store.writer import GuardKey
+from peathall.protocol.state_service import Put
+from peathall.store.client import StoreClient
+from peathall.store.errors import ConflictError, LeaseExpiredError, StoreError
+from peathall.store.transaction import GuardKey
 
 log = logging.getLogger("peathall.duties")
 
--- a/peathall/duties/disabled.py
+++ b/peathall/duties/disabled.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from peathall.autoscaling.actions import CloudActions
-from peathall.store.writer import DeferredWriter
+from peathall.store.deferred_writes import DeferredWriter
 
 
 class NoDuties:
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -26,17 +26,17 @@
     Duty,
     Outcome,
 )
-from peathall.leadership.election import LEADER_KEY
+from peathall.leadership.records import LEADER_KEY
 from peathall.protocol.codec import struct_to_builtins
-from peathall.store.client import (
+from peathall.protocol.state_service import Delete, Put
+from peathall.store.client import StoreClient
+from peathall.store.errors import (
     ConflictError,
-    Delete,
     InvalidTransactionError,
-    Put,
-    StoreClient,
+    LeadershipLostError,
     StoreError,
 )
-from peathall.store.writer import LeadershipLostError, Writer
+from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.duties")
 
--- a/peathall/duties/gate.py
+++ b/peathall/duties/gate.py
@@ -11,8 +11,9 @@
 
 from peathall.config.modes import Mode
 from peathall.duties.model import ENABLED_KEY
-from peathall.leadership.election import CampaignTerms
-from peathall.store.client import Put, StoreClient
+from peathall.leadership.campaign import CampaignTerms
+from peathall.protocol.state_service import Put
+from peathall.store.client import StoreClient
 
 log = logging.getLogger("peathall.duties")
 
--- a/peathall/duties/retirement.py
+++ b/peathall/duties/retirement.py
@@ -9,7 +9,9 @@
 from peathall import constants
 from peathall.duties.board import DutyBoard
 from peathall.duties.model import ACTION_PREFIX, ENABLED_KEY, Duty
-from peathall.store.client import ConflictError, Delete, KeyValue, StoreClient, StoreError
+from peathall.protocol.state_service import Delete, KeyValue
+from peathall.store.client import StoreClient
+from peathall.store.errors import ConflictError, StoreError
 from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.duties")
--- a/peathall/duties/service.py
+++ b/peathall/duties/service.py
@@ -17,7 +17,7 @@
 from peathall.duties.board import DutyBoard
 from peathall.duties.claim import DutyClaim, Tenure
 from peathall.duties.delegate import DelegatedCloud
-from peathall.duties.delegation import Delegation as Delegation
+from peathall.duties.delegation import Delegation
 from peathall.duties.executor import Checkpoint, DutyExecutor, no_checkpoint
 from peathall.duties.holders import Holders, Send
 from peathall.duties.model import (
@@ -35,7 +35,7 @@
 from peathall.duties.status import DutiesStatus, describe
 from peathall.duties.writes import DelegatedWrites
 from peathall.http.client import NoAnswerError
-from peathall.leadership.election import LEADER_KEY, LeaderRecord
+from peathall.leadership.records import LEADER_KEY, LeaderRecord
 from peathall.protocol.codec import struct_to_builtins
 from peathall.store.client import StoreClient
 from peathall.store.writer import Writer
--- a/peathall/duties/status.py
+++ b/peathall/duties/status.py
@@ -13,7 +13,7 @@
     HolderRecord,
     TokenRecord,
 )
-from peathall.store.client import KeyValue
+from peathall.protocol.state_service import KeyValue
 
 
 class DutyStatus(Struct):
--- a/peathall/duties/writes.py
+++ b/peathall/duties/writes.py
@@ -21,8 +21,9 @@
     StoredValue,
     StoreTransaction,
 )
-from peathall.leadership.election import LEADER_KEY
-from peathall.store.client import ConflictError, Delete, InvalidTransactionError, Put
+from peathall.leadership.records import LEADER_KEY
+from peathall.protocol.state_service import Delete, Put
+from peathall.store.errors import ConflictError, InvalidTransactionError
 from peathall.store.mutation import Batch, Mutation, fail_mutations, partition_by_keys
 from peathall.store.writer import Writer
 
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -18,9 +18,13 @@
 from peathall.jobs.record_division import RecordDivision
 from peathall.jobs.record_index import RecordIndex
 from peathall.protocol.codec import json_size, struct_to_builtins
-from peathall.store.client import Delete, Put, StoreClient, StoreError
+from peathall.protocol.state_service import Delete, Put
+from peathall.store.client import StoreClient
+from peathall.store.deferred_writes import DeferredWriter
+from peathall.store.errors import StoreError
+from peathall.store.mutation import Mutation
 from peathall.store.shared_records import SharedRecordWriter
-from peathall.store.writer import DeferredWriter, Mutation, Writer
+from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.jobs")
 
--- a/peathall/jobs/background.py
+++ b/peathall/jobs/background.py
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 from typing import Any
 
-from peathall.store.writer import LeadershipLostError
+from peathall.store.errors import LeadershipLostError
 
 log = logging.getLogger("peathall.jobs")
 
--- a/peathall/jobs/completion.py
+++ b/peathall/jobs/completion.py
@@ -13,8 +13,9 @@
 from peathall.jobs.remote import RemoteJobs
 from peathall.protocol.codec import struct_to_builtins
 from peathall.protocol.jobs import JobStatus
-from peathall.store.client import Put
-from peathall.store.writer import Mutation, Writer
+from peathall.protocol.state_service import Put
+from peathall.store.mutation import Mutation
+from peathall.store.writer import Writer
 
 
 class JobCompletion:
--- a/peathall/jobs/duplicates.py
+++ b/peathall/jobs/duplicates.py
@@ -13,8 +13,9 @@
 from peathall.jobs.record_index import RecordIndex
 from peathall.jobs.records import rewrite_or_delete
 from peathall.protocol.codec import json_size
-from peathall.store.client import Put
-from peathall.store.writer import DeferredWriter, Mutation
+from peathall.protocol.state_service import Put
+from peathall.store.deferred_writes import DeferredWriter
+from peathall.store.mutation import Mutation
 
 
 class DuplicateRemoval:
--- a/peathall/jobs/external.py
+++ b/peathall/jobs/external.py
@@ -9,7 +9,10 @@
 from peathall.cluster.state import ClusterState
 from peathall.jobs import records
 from peathall.jobs.registry import JobRegistry
-from peathall.store.client import KeyValue, SingleFlightRead, StoreClient, StoreError, WatchEvent
+from peathall.protocol.state_service import KeyValue, WatchEvent
+from peathall.store.client import StoreClient
+from peathall.store.errors import StoreError
+from peathall.store.single_flight import SingleFlightRead
 from peathall.store.writer import Writer
 
 log = logging.getLogger("peathall.jobs")
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -18,7 +18,9 @@
 from peathall.jobs.responses import NOT_FOUND, RETRY_LATER, JobResponse
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, JobStatus, encode_job_status, spec_to_record
-from peathall.store.client import ConflictError, Put, StoreClient
+from peathall.protocol.state_service import Put
+from peathall.store.client import StoreClient
+from peathall.store.errors import ConflictError
 
 
 class FollowerService:
--- a/peathall/jobs/live_index.py
+++ b/peathall/jobs/live_index.py
@@ -9,7 +9,8 @@
 from typing import Any
 
 from peathall.jobs import records
-from peathall.store.client import SingleFlightRead, StoreClient
+from peathall.store.client import StoreClient
+from peathall.store.single_flight import SingleFlightRead
 
 
 class LiveJobIndex:
--- a/peathall/jobs/records.py
+++ b/peathall/jobs/records.py
@@ -22,7 +22,7 @@
 from peathall import constants
 from peathall.cluster.ranges import Ranges
 from peathall.protocol.jobs import JobSpec, JobStatus, spec_to_record
-from peathall.store.client import Delete, Put
+from peathall.protocol.state_service import Delete, Put
 
 # Prefixes of keys.
 LIVE = "live/"  # of JOB, JOBS and ENDS
--- a/peathall/jobs/recovery.py
+++ b/peathall/jobs/recovery.py
@@ -7,8 +7,9 @@
 from peathall.jobs.archive import JobArchive
 from peathall.jobs.final_status import FinalStatuses
 from peathall.jobs.registry import JobRegistry
-from peathall.store.client import KeyValue
-from peathall.store.writer import DeferredWriter, Writer
+from peathall.protocol.state_service import KeyValue
+from peathall.store.deferred_writes import DeferredWriter
+from peathall.store.writer import Writer
 
 
 class JobRecovery:
--- a/peathall/jobs/service.py
+++ b/peathall/jobs/service.py
@@ -9,7 +9,6 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
 from peathall.jobs import records
-from peathall.jobs.admission import rejection_reason as rejection_reason
 from peathall.jobs.archive import JobArchive
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.cancellation import JobCancellation
@@ -21,14 +20,14 @@
 from peathall.jobs.recovery import JobRecovery
 from peathall.jobs.registry import JobRegistry
 from peathall.jobs.remote import NoRemoteJobs, RemoteJobs
-from peathall.jobs.responses import RETRY_LATER as RETRY_LATER
-from peathall.jobs.responses import JobResponse as JobResponse
-from peathall.jobs.responses import current_status
+from peathall.jobs.responses import JobResponse, current_status
 from peathall.jobs.submission import JobSubmission
 from peathall.protocol.jobs import JobSpec
-from peathall.store.client import KeyValue, StoreClient
+from peathall.protocol.state_service import KeyValue
+from peathall.store.client import StoreClient
+from peathall.store.deferred_writes import DeferredWriter
 from peathall.store.shared_records import SharedRecordWriter
-from peathall.store.writer import DeferredWriter, Writer
+from peathall.store.writer import Writer
 
 
 class Jobs:
--- a/peathall/jobs/submission.py
+++ b/peathall/jobs/submission.py
@@ -11,7 +11,7 @@
 from peathall.jobs.remote import RemoteJobs
 from peathall.jobs.responses import RETRY_LATER, JobResponse
 from peathall.protocol.jobs import JobSpec, spec_to_record
-from peathall.store.client import ConflictError
+from peathall.store.errors import ConflictError
 from peathall.store.shared_records import SharedRecordWriter
 
 
--- a/peathall/leader/events.py
+++ b/peathall/leader/events.py
@@ -13,7 +13,7 @@
 from peathall.cluster.job import Job
 from peathall.cluster.machine import Machine
 from peathall.leader.phase import TermState
-from peathall.placement.views import Plan
+from peathall.placement.plan import Plan
 
 if TYPE_CHECKING:
     from peathall.leader.wiring import LeaderSlices
--- a/peathall/leader/features.py
+++ b/peathall/leader/features.py
@@ -12,9 +12,9 @@
 from peathall.autoscaling.actions import CloudActions
 from peathall.cluster.job import Job
 from peathall.jobs.responses import JobResponse
-from peathall.placement.views import Plan
+from peathall.placement.plan import Plan
 from peathall.store.client import StoreClient
-from peathall.store.writer import DeferredWriter
+from peathall.store.deferred_writes import DeferredWriter
 
 
 class HomeJobs(Protocol):
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -8,11 +8,13 @@
 from typing import Any
 
 from peathall import constants
-from peathall.autoscaling.autoscaler import TYPES
+from peathall.autoscaling.machine_types import TYPES
 from peathall.jobs import records
 from peathall.leader.wiring import LeaderSlices
 from peathall.placement.rounds import ROUND
-from peathall.store.client import KeyValue, StoreClient, StoreError
+from peathall.protocol.state_service import KeyValue
+from peathall.store.client import StoreClient
+from peathall.store.errors import StoreError
 from peathall.workers.failing_jobs import FAILING_JOBS_KEY
 from peathall.workers.image_cache import CACHE
 
--- a/peathall/leader/requests.py
+++ b/peathall/leader/requests.py
@@ -13,7 +13,7 @@
 from peathall.leader.wiring import LeaderSlices
 from peathall.protocol.heartbeats import Heartbeat
 from peathall.protocol.jobs import JobSpec
-from peathall.store.writer import WriterPhase
+from peathall.store.phase import WriterPhase
 
 log = logging.getLogger("peathall.leader")
 
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -23,7 +23,7 @@
 from peathall.protocol.heartbeats import Heartbeat
 from peathall.protocol.jobs import JobSpec
 from peathall.store.writer import Writer
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 if TYPE_CHECKING:
     from peathall.cells.service import CellLeader
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -24,7 +24,7 @@
 from peathall.workers.delivery import DeliveryLimits
 from peathall.workers.failing_jobs import FailingJobsRecord
 from peathall.workers.image_cache import ImageCacheRecords
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 if TYPE_CHECKING:
     from peathall.cells.service import CellLeader
--- a/peathall/leadership/campaign.py
+++ b/peathall/leadership/campaign.py
@@ -14,8 +14,10 @@
 from peathall.leadership.lease import LeaderLease
 from peathall.leadership.records import LEADER_KEY, TERM_KEY, LeaderRecord, TermRecord
 from peathall.leadership.term import LeaderTerm, revoke_lease
-from peathall.store.client import ConflictError, LeaseExpiredError, Put, StoreClient
-from peathall.store.writer import GuardKey
+from peathall.protocol.state_service import Put
+from peathall.store.client import StoreClient
+from peathall.store.errors import ConflictError, LeaseExpiredError
+from peathall.store.transaction import GuardKey
 
 log = logging.getLogger("peathall.leadership")
 
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -17,14 +17,10 @@
 from peathall import constants
 from peathall.config.modes import Mode
 from peathall.leadership.campaign import Campaign, CampaignGate
-from peathall.leadership.campaign import CampaignTerms as CampaignTerms
-from peathall.leadership.records import LEADER_KEY as LEADER_KEY
-from peathall.leadership.records import TERM_KEY as TERM_KEY
-from peathall.leadership.records import LeaderRecord as LeaderRecord
-from peathall.leadership.records import TermRecord as TermRecord
-from peathall.leadership.term import LeaderTerm as LeaderTerm
-from peathall.leadership.term import renew_lease, revoke_lease
-from peathall.store.client import StoreClient, StoreError
+from peathall.leadership.records import LEADER_KEY, LeaderRecord
+from peathall.leadership.term import LeaderTerm, renew_lease, revoke_lease
+from peathall.store.client import StoreClient
+from peathall.store.errors import StoreError
 
 log = logging.getLogger("peathall.leadership")
 
--- a/peathall/leadership/term.py
+++ b/peathall/leadership/term.py
@@ -8,8 +8,9 @@
 
 from peathall import constants
 from peathall.leadership.lease import LeaderLease
-from peathall.store.client import LeaseExpiredError, StoreClient, StoreError
-from peathall.store.writer import GuardKey
+from peathall.store.client import StoreClient
+from peathall.store.errors import LeaseExpiredError, StoreError
+from peathall.store.transaction import GuardKey
 
 log = logging.getLogger("peathall.leadership")
 
--- a/peathall/placement/eviction.py
+++ b/peathall/placement/eviction.py
@@ -10,7 +10,7 @@
 from peathall.cluster.state import ClusterState
 from peathall.placement.plan import Move, TaskKey
 from peathall.placement.reservations import Reservation, Reservations
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 log = logging.getLogger("peathall.placement")
 
--- a/peathall/placement/machine_views.py
+++ b/peathall/placement/machine_views.py
@@ -9,7 +9,7 @@
 from peathall.placement.reservations import Reservations
 from peathall.placement.victims import Victims
 from peathall.placement.views import MachineDetail, MachineView
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 # Heartbeats come up to a quarter of an interval late.
 LATE_HEARTBEAT_FACTOR = 1.25
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -25,8 +25,10 @@
 from peathall.cluster.state import ClusterState
 from peathall.placement.plan import Assignment
 from peathall.protocol.codec import json_size
-from peathall.store.client import KeyValue, Put
-from peathall.store.writer import DeferredWriter, Mutation, Writer
+from peathall.protocol.state_service import KeyValue, Put
+from peathall.store.deferred_writes import DeferredWriter
+from peathall.store.mutation import Mutation
+from peathall.store.writer import Writer
 
 ROUND = "round/"
 
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -20,8 +20,9 @@
 from peathall.placement.starter import Starter
 from peathall.placement.views import MachineView
 from peathall.protocol.jobs import JobSpec
-from peathall.store.writer import DeferredWriter, Writer
-from peathall.workers.service import Workers
+from peathall.store.deferred_writes import DeferredWriter
+from peathall.store.writer import Writer
+from peathall.workers.workers import Workers
 
 
 class DemandListener(Protocol):
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -10,7 +10,7 @@
 from peathall.placement.quotas import jobs_within_quota
 from peathall.placement.reservations import Reservations
 from peathall.placement.victims import Victims
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 
 
 class Snapshot:
--- a/peathall/placement/starter.py
+++ b/peathall/placement/starter.py
@@ -13,8 +13,8 @@
 from peathall.placement.plan import Assignment
 from peathall.placement.rounds import RecordPart, RoundRecords, joined_by_gangs
 from peathall.placement.snapshot import Snapshot
-from peathall.store.client import StoreError
-from peathall.workers.service import Workers
+from peathall.store.errors import StoreError
+from peathall.workers.workers import Workers
 
 log = logging.getLogger("peathall.placement")
 
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -10,12 +10,7 @@
 from dataclasses import KW_ONLY, dataclass, field
 
 from peathall import constants
-from peathall.placement.bin_packing import EPS as EPS
-from peathall.placement.bin_packing import allowed as allowed
-from peathall.placement.bin_packing import fits_in as fits_in
-from peathall.placement.plan import Assignment as Assignment
-from peathall.placement.plan import Move as Move
-from peathall.placement.plan import Plan as Plan
+from peathall.placement.bin_packing import fits_in
 from peathall.protocol.jobs import JobSpec
 
 
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -12,18 +12,16 @@
 from peathall.config.platform import StateSettings
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec, state_service
-from peathall.protocol.state_service import Delete as Delete
-from peathall.protocol.state_service import KeyValue as KeyValue
-from peathall.protocol.state_service import Put as Put
-from peathall.protocol.state_service import WatchEvent as WatchEvent
-from peathall.store.errors import ConflictError as ConflictError
-from peathall.store.errors import InvalidTransactionError as InvalidTransactionError
-from peathall.store.errors import LeaseExpiredError as LeaseExpiredError
-from peathall.store.errors import OutcomeUnknownError as OutcomeUnknownError
-from peathall.store.errors import RateLimitError as RateLimitError
-from peathall.store.errors import StoreError as StoreError
+from peathall.protocol.state_service import Delete, KeyValue, Put, WatchEvent
+from peathall.store.errors import (
+    ConflictError,
+    InvalidTransactionError,
+    LeaseExpiredError,
+    OutcomeUnknownError,
+    RateLimitError,
+    StoreError,
+)
 from peathall.store.rate_limits import StoreRateLimits
-from peathall.store.single_flight import SingleFlightRead as SingleFlightRead
 
 
 class StoreResponse(Struct):
--- a/peathall/store/shared_records.py
+++ b/peathall/store/shared_records.py
@@ -9,7 +9,8 @@
 from peathall.protocol.state_service import Put
 from peathall.store.errors import ConflictError, LeadershipLostError
 from peathall.store.mutation import Mutation
-from peathall.store.writer import Writer, WriterPhase
+from peathall.store.phase import WriterPhase
+from peathall.store.writer import Writer
 
 
 class SharedRecordEntry:
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -22,17 +22,11 @@
     Rejected,
     TransactionCommitter,
 )
-from peathall.store.deferred_writes import DeferredWriter as DeferredWriter
 from peathall.store.deferred_writes import DeferredWrites, MutationMaker
-from peathall.store.errors import ConflictError
-from peathall.store.errors import LeadershipLostError as LeadershipLostError
-from peathall.store.mutation import Batch as Batch
-from peathall.store.mutation import Mutation as Mutation
-from peathall.store.mutation import fail_mutations, partition_by_keys
-from peathall.store.phase import WriterPhase as WriterPhase
-from peathall.store.phase import WriterState
-from peathall.store.transaction import GuardKey as GuardKey
-from peathall.store.transaction import Transaction as Transaction
+from peathall.store.errors import ConflictError, LeadershipLostError
+from peathall.store.mutation import Batch, Mutation, fail_mutations, partition_by_keys
+from peathall.store.phase import WriterPhase, WriterState
+from peathall.store.transaction import GuardKey, Transaction
 
 
 class Writer:
--- a/peathall/workers/failing_jobs.py
+++ b/peathall/workers/failing_jobs.py
@@ -8,8 +8,9 @@
 from peathall import constants
 from peathall.cluster.job import JobHealth
 from peathall.cluster.state import ClusterState
-from peathall.store.client import KeyValue, Put
-from peathall.store.writer import Mutation, Writer
+from peathall.protocol.state_service import KeyValue, Put
+from peathall.store.mutation import Mutation
+from peathall.store.writer import Writer
 from peathall.workers.faults import FaultTracker
 
 FAILING_JOBS_KEY = "suspects"
--- a/peathall/workers/image_cache.py
+++ b/peathall/workers/image_cache.py
@@ -13,8 +13,9 @@
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
 from peathall.protocol.codec import json_size
-from peathall.store.client import Delete, KeyValue, Put
-from peathall.store.writer import Mutation, Writer
+from peathall.protocol.state_service import Delete, KeyValue, Put
+from peathall.store.mutation import Mutation
+from peathall.store.writer import Writer
 
 CACHE = "cache/"
 
--- a/peathall/workers/service.py
+++ /dev/null
@@ -1,3 +0,0 @@
-"""The former home of `Workers`; import it from `peathall.workers.workers`."""
-
-from peathall.workers.workers import Workers as Workers
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -16,7 +16,8 @@
 from peathall.duties.model import ActionRequest, ActionResult, Deletion, Duty, DutyPhase, Outcome
 from peathall.duties.settings import DutySettings
 from peathall.operator_config.settings import Operator
-from peathall.store.writer import Transaction, Writer
+from peathall.store.transaction import Transaction
+from peathall.store.writer import Writer
 from tests.sim import production
 from tests.sim.duty_history import DutyHistory
 from tests.sim.net import VirtualLoop
--- a/tests/sim/test_duties_command.py
+++ b/tests/sim/test_duties_command.py
@@ -21,7 +21,7 @@
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
 from peathall.operator_config.file import load_operator
-from peathall.store.client import KeyValue
+from peathall.protocol.state_service import KeyValue
 from tests.unit.test_settings import TEXT
 
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "peathall.textproto"
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -7,12 +7,12 @@
 from typing import Any
 
 from peathall import constants
-from peathall.autoscaling.autoscaler import list_gap_s
+from peathall.autoscaling.machine_list import list_gap_s
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import StateSettings
 from peathall.protocol.decode_cache import DecodeCache
-from peathall.store.client import Put
+from peathall.protocol.state_service import Put
 from peathall.store.writer import Writer
 from peathall.workers.image_cache import ImageCacheRecords
 from tests.sim.fleet_day import FleetPlayer
--- a/tests/unit/test_autoscaling.py
+++ b/tests/unit/test_autoscaling.py
@@ -10,9 +10,10 @@
 from peathall.autoscaling.autoscaler import Autoscaler
 from peathall.autoscaling.scale_out import OfferKey
 from peathall.cluster.machine import Machine, MachinePhase
-from peathall.placement.views import JobView, Plan
+from peathall.placement.plan import Plan
+from peathall.placement.views import JobView
 from peathall.protocol.cloud import ListedMachine, MachineState
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_autoscaler, new_workers, report
 
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -13,7 +13,7 @@
 from peathall.cluster.job import Attempt, AttemptPhase, Job, JobHealth
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
-from peathall.store.client import KeyValue, Put
+from peathall.protocol.state_service import KeyValue, Put
 from peathall.store.writer import Writer
 from peathall.workers.failing_jobs import FailingJobsRecord
 from peathall.workers.faults import FaultTracker
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -19,8 +19,9 @@
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
 from peathall.protocol.jobs import JobStatus, encode_job_status, spec_to_record
-from peathall.store.client import Put
-from peathall.store.writer import GuardKey, Writer
+from peathall.protocol.state_service import Put
+from peathall.store.transaction import GuardKey
+from peathall.store.writer import Writer
 from tests.unit.test_planner import spec
 from tests.unit.test_store import LIMITS, FakeStore
 
--- a/tests/unit/test_leader.py
+++ b/tests/unit/test_leader.py
@@ -28,8 +28,8 @@
 from peathall.leadership.lease import LeaderLease
 from peathall.leadership.term import LeaderTerm
 from peathall.operator_config.settings import Operator
-from peathall.store.client import StoreError
-from peathall.store.writer import GuardKey
+from peathall.store.errors import StoreError
+from peathall.store.transaction import GuardKey
 from tests.unit.test_protocol_format import SETTINGS, cells_operator
 from tests.unit.test_stored_format import LEASE, RecordingStore, until
 
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -35,8 +35,9 @@
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, DutyStatus
 from peathall.http.message import Request, Response
+from peathall.jobs import records
 from peathall.jobs.responses import JobResponse
-from peathall.leadership.election import LeaderRecord, TermRecord
+from peathall.leadership.records import LeaderRecord, TermRecord
 from peathall.operator_config.file import load_operator
 from peathall.operator_config.settings import Operator
 from peathall.protocol.cloud import decode_machine_type, encode_machine_type
@@ -1180,7 +1181,7 @@
     assert (duties.ENABLED_KEY, duty.holder_key, duty.token_key, duty.action_prefix) == (
         "duties/on", "duties/holder/renting", "duties/token/renting", "duty-act/renting/",
     )  # fmt: skip
-    assert (cells.HANDOFF, cells.BORROWED) == ("handoff/", "borrowed/")
+    assert (cells.HANDOFF, records.BORROWED) == ("handoff/", "borrowed/")
 
 
 def sender(http: RecordedHttp) -> Any:
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -16,9 +16,10 @@
 from peathall.placement.plan import Assignment, Plan
 from peathall.placement.rounds import ROUND, RoundRecords, from_record
 from peathall.protocol.codec import json_size
-from peathall.store.client import InvalidTransactionError, KeyValue
+from peathall.protocol.state_service import KeyValue
+from peathall.store.errors import InvalidTransactionError
 from peathall.store.writer import Writer
-from peathall.workers.service import Workers
+from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_store import FakeStore, lead
 from tests.unit.test_workers import TERM, new_placement, new_workers, report
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -41,14 +41,15 @@
 from peathall.jobs.follower import FollowerService
 from peathall.jobs.live_index import LiveJobIndex
 from peathall.jobs.service import Jobs
-from peathall.leadership.election import Election, LeaderTerm
+from peathall.leadership.election import Election
 from peathall.leadership.lease import LeaderLease, first_attempt
+from peathall.leadership.term import LeaderTerm
+from peathall.placement.plan import Assignment
 from peathall.placement.rounds import RoundRecords
-from peathall.placement.views import Assignment
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec, JobStatus, spec_from_record
-from peathall.store.client import KeyValue, Put
-from peathall.store.writer import GuardKey
+from peathall.protocol.state_service import KeyValue, Put
+from peathall.store.transaction import GuardKey
 from peathall.workers.failing_jobs import FailingJobsRecord
 from peathall.workers.faults import FaultTracker
 from peathall.workers.image_cache import ImageCacheRecords
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -31,7 +31,7 @@
     TaskStatus,
     decode_heartbeat,
 )
-from peathall.store.client import KeyValue
+from peathall.protocol.state_service import KeyValue
 from peathall.store.writer import Writer
 from peathall.workers.delivery import DeliveryLimits
 from peathall.workers.events import IgnoredEvents
