--- a/bench/cost.py
+++ b/bench/cost.py
@@ -18,7 +18,7 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import CloudSettings, Params, StateSettings, Team, WorkerSettings
-from peathall.placement.service import Placement
+from peathall.placement.placement import Placement
 from peathall.protocol import codec
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.heartbeats import decode_heartbeat
--- a/peathall/cells/service.py
+++ b/peathall/cells/cell_leader.py
@@ -24,9 +24,9 @@
 from peathall.cluster.state import ClusterState
 from peathall.config.modes import Mode
 from peathall.config.platform import Params
+from peathall.jobs.jobs import Jobs
 from peathall.jobs.records import BORROWED
 from peathall.jobs.responses import RETRY_LATER, JobResponse
-from peathall.jobs.service import Jobs
 from peathall.leadership.records import TERM_KEY, TermRecord
 from peathall.placement.plan import Plan
 from peathall.protocol.codec import struct_to_builtins
--- a/peathall/cells/requests.py
+++ b/peathall/cells/requests.py
@@ -25,7 +25,7 @@
 )
 from peathall.cells.settings import CellSettings
 from peathall.config.modes import Mode
-from peathall.jobs.service import Jobs
+from peathall.jobs.jobs import Jobs
 from peathall.protocol.codec import struct_to_builtins
 
 Message = HandoffOffer | CellHeartbeat | UserRequest
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -41,7 +41,7 @@
 from peathall.store.errors import StoreError
 
 if TYPE_CHECKING:
-    from peathall.duties.service import Duties
+    from peathall.duties.duties import Duties
 
 log = logging.getLogger("peathall.controller")
 
@@ -93,7 +93,7 @@
 
     def _make_duties(self) -> Duties:
         # Imported here only: a controller without duties does not spend the memory.
-        from peathall.duties.service import Duties
+        from peathall.duties.duties import Duties
 
         return Duties(
             self.settings,
--- a/peathall/controller/peer_routes.py
+++ b/peathall/controller/peer_routes.py
@@ -21,7 +21,7 @@
 from peathall.store.errors import StoreError
 
 if TYPE_CHECKING:
-    from peathall.duties.service import Duties
+    from peathall.duties.duties import Duties
 
 log = logging.getLogger("peathall.controller")
 
--- a/peathall/duties/term.py
+++ b/peathall/duties/term.py
@@ -13,7 +13,7 @@
 
 if TYPE_CHECKING:
     from peathall.duties.delegate import DelegatedCloud
-    from peathall.duties.service import Duties
+    from peathall.duties.duties import Duties
     from peathall.duties.writes import DelegatedWrites
 
 
--- a/peathall/leader/context.py
+++ b/peathall/leader/context.py
@@ -14,7 +14,7 @@
 from peathall.workers.health import HeartbeatsElsewhere
 
 if TYPE_CHECKING:
-    from peathall.duties.service import Duties
+    from peathall.duties.duties import Duties
 
 
 class Leadership(Protocol):
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -10,8 +10,8 @@
 from peathall import constants
 from peathall.autoscaling.autoscaler import Autoscaler
 from peathall.cluster.state import ClusterState
+from peathall.jobs.jobs import Jobs
 from peathall.jobs.responses import JobResponse
-from peathall.jobs.service import Jobs
 from peathall.leader.context import ControllerContext
 from peathall.leader.features import LeaderDuties
 from peathall.leader.phase import LeaderPhase, TermState
@@ -19,14 +19,14 @@
 from peathall.leader.requests import LeaderRequests
 from peathall.leader.wiring import LeaderSlices
 from peathall.leadership.term import LeaderTerm
-from peathall.placement.service import Placement
+from peathall.placement.placement import Placement
 from peathall.protocol.heartbeats import Heartbeat
 from peathall.protocol.jobs import JobSpec
 from peathall.store.writer import Writer
 from peathall.workers.workers import Workers
 
 if TYPE_CHECKING:
-    from peathall.cells.service import CellLeader
+    from peathall.cells.cell_leader import CellLeader
 
 log = logging.getLogger("peathall.leader")
 
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -11,7 +11,7 @@
 from peathall.cluster.state import ClusterState
 from peathall.duties.disabled import NoDuties
 from peathall.duties.term import TermDuties
-from peathall.jobs.service import Jobs
+from peathall.jobs.jobs import Jobs
 from peathall.leader.context import ControllerContext
 from peathall.leader.events import SliceEvents
 from peathall.leader.features import LeaderCells, LeaderDuties
@@ -19,7 +19,7 @@
 from peathall.leadership.lease import first_attempt
 from peathall.leadership.records import TERM_KEY
 from peathall.leadership.term import LeaderTerm
-from peathall.placement.service import Placement
+from peathall.placement.placement import Placement
 from peathall.store.writer import Writer
 from peathall.workers.delivery import DeliveryLimits
 from peathall.workers.failing_jobs import FailingJobsRecord
@@ -27,7 +27,7 @@
 from peathall.workers.workers import Workers
 
 if TYPE_CHECKING:
-    from peathall.cells.service import CellLeader
+    from peathall.cells.cell_leader import CellLeader
 
 
 class LeaderSlices:
@@ -132,7 +132,7 @@
         if settings is None:
             return None
         # Imported here only: a controller without cells must not spend the memory.
-        from peathall.cells.service import CellLeader
+        from peathall.cells.cell_leader import CellLeader
 
         return CellLeader(
             settings=settings,
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -11,10 +11,10 @@
 import pytest
 
 from peathall.cells.borrowed_job import PATIENCE_S, BorrowedJob
+from peathall.cells.cell_leader import CellLeader
 from peathall.cells.home import HomeHandoffs
 from peathall.cells.model import BorrowedJobStatus, BorrowPhase, CellHeartbeat, Ruling, Verdict
 from peathall.cells.requests import CellResponse
-from peathall.cells.service import CellLeader
 from peathall.cells.settings import CellSettings
 from peathall.config.modes import Mode
 from peathall.operator_config.settings import Operator
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -15,7 +15,7 @@
 from peathall.config.platform import CloudSettings, Params, StateSettings, Team, WorkerSettings
 from peathall.jobs import records
 from peathall.jobs.admission import rejection_reason
-from peathall.jobs.service import Jobs
+from peathall.jobs.jobs import Jobs
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
 from peathall.protocol.jobs import JobStatus, encode_job_status, spec_to_record
--- a/tests/unit/test_leader.py
+++ b/tests/unit/test_leader.py
@@ -15,9 +15,9 @@
 from peathall.config.modes import Mode
 from peathall.config.platform import parse
 from peathall.duties.disabled import NoDuties
+from peathall.duties.duties import Duties
 from peathall.duties.gate import DutyGate
 from peathall.duties.model import Duty
-from peathall.duties.service import Duties
 from peathall.duties.settings import DutySettings
 from peathall.duties.term import TermDuties
 from peathall.jobs.responses import RETRY_LATER
--- a/tests/unit/test_leader_features.py
+++ b/tests/unit/test_leader_features.py
@@ -5,6 +5,7 @@
 import asyncio
 import subprocess
 import sys
+from importlib.util import find_spec
 from typing import Any
 
 from peathall.cells.disabled import NoCells
@@ -19,7 +20,8 @@
     )
     run = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert "'peathall.cells.disabled'" in run.stdout
-    for module in ("cells.service", "cells.home", "cells.borrower", "duties.service"):
+    for module in ("cells.cell_leader", "cells.home", "cells.borrower", "duties.duties"):
+        assert find_spec(f"peathall.{module}") is not None
         assert f"'peathall.{module}'" not in run.stdout
 
 
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -22,8 +22,8 @@
 from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.cells import model as cells
+from peathall.cells.cell_leader import CellLeader
 from peathall.cells.client import CellClient
-from peathall.cells.service import CellLeader
 from peathall.cells.settings import Neighbour
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.cluster.machine import Machine, MachinePhase
@@ -31,7 +31,7 @@
 from peathall.controller.controller import Controller
 from peathall.controller.user_routes import user_response
 from peathall.duties import model as duties
-from peathall.duties.service import Duties
+from peathall.duties.duties import Duties
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, DutyStatus
 from peathall.http.message import Request, Response
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -39,8 +39,8 @@
 from peathall.duties.model import ActionRequest, Deletion, Duty, HolderRecord
 from peathall.duties.status import describe
 from peathall.jobs.follower import FollowerService
+from peathall.jobs.jobs import Jobs
 from peathall.jobs.live_index import LiveJobIndex
-from peathall.jobs.service import Jobs
 from peathall.leadership.election import Election
 from peathall.leadership.lease import LeaderLease, first_attempt
 from peathall.leadership.term import LeaderTerm
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -20,7 +20,7 @@
     WorkerSettings,
 )
 from peathall.leadership.lease import fencing_token, first_attempt
-from peathall.placement.service import Placement
+from peathall.placement.placement import Placement
 from peathall.placement.views import MachineView
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
