--- a/bench/larger.py
+++ b/bench/larger.py
@@ -55,27 +55,28 @@
             player.world.controller_hosts.operators = dict.fromkeys(range(player.world.size), CELLS)
 
         async def day() -> int:
-            await player.rent(LIMIT_S)
+            await player.provision(LIMIT_S)
             if player.leader() is None:
                 return 0
             await player.steady(STEADY_S)
             leader = player.leader()
             kept = kept_bytes([leader.cluster, leader.workers.exits]) if leader else 0
             if leader is not None:
-                await player.take_over(LIMIT_S)
+                await player.fail_over(LIMIT_S)
             if player.leader() is not None:
-                await player.lose(LIMIT_S)
+                await player.lose_machines(LIMIT_S)
             return kept
 
         kept = loop.run_until_complete(day())
     figures = player.finish()
     print(
         f"{machines} machines, share {share or 1.0:g}: rented and filled after "
-        f"{figures.rented_s:.0f} s, steady {figures.steady_share:.3f} of a core, "
-        f"kept {kept / 2**20:.1f} MB, all heard {figures.takeover_s:.1f} s after the leader's end, "
+        f"{figures.provisioned_s:.0f} s, steady {figures.steady_share:.3f} of a core, "
+        f"kept {kept / 2**20:.1f} MB, all heard {figures.failover_s:.1f} s after the leader's end, "
         f"{figures.deleted_alive} alive deleted, lost fifth replaced after "
-        f"{figures.replaced_s:.0f} s, longest check-in {figures.checkin_s:.2f} s, answers "
-        f"{figures.checkins}, cloud refused {figures.cloud_refused}, broken {figures.broken[:3]} "
+        f"{figures.replaced_s:.0f} s, longest check-in {figures.heartbeat_wait_s:.2f} s, answers "
+        f"{figures.heartbeat_responses}, cloud refused {figures.cloud_refused}, "
+        f"broken {figures.broken[:3]} "
         f"({time.monotonic() - began:.0f} s of this machine)",
         flush=True,
     )
--- a/bench/spill.py
+++ b/bench/spill.py
@@ -91,7 +91,7 @@
             job = world.jobs[job_id]
             outcome.useful_s += job["run_s"] * job["parcels"]
         outcome.changes += len(world.state.changes)
-        outcome.busy_s += sum(host.busy_s for host, _ in world.controllers.values())
+        outcome.busy_s += sum(host.cpu_s for host, _ in world.controllers.values())
         outcome.faults += world.broken
     outcome.handoffs += cells.judge.handoffs
     outcome.faults += cells.judge.faults
@@ -131,7 +131,7 @@
     await cells.begin()
     await cells.warm(1, 100)
     await cells.fill(0, 10, run_s=200.0)
-    reached = cells.at(1, "running", lambda: cells.vanish(1, 400.0))
+    reached = cells.at(1, "running", lambda: cells.isolate(1, 400.0))
     cells.submit(0, 1, run_s=100.0)
     await asyncio.wait_for(reached.wait(), 60.0)
     return await cells.until(lambda: cells.phase(1) is None, 120.0)
--- a/bench/stand_in.py
+++ b/bench/stand_in.py
@@ -26,7 +26,7 @@
 from peathall.http.server import HttpServer
 from peathall.protocol import codec
 from tests.sim.net import CALLER
-from tests.sim.state import State
+from tests.sim.state import StateService
 
 HOST = "127.0.0.1"
 REPORT_S, BOOT_S, LEASE_S = 1.0, 0.5, 12.0
@@ -60,11 +60,11 @@
 
 async def serve_store(loop: Any, port: int, log: Log) -> None:
     CALLER.set("")
-    state = State(loop)
-    state.page = 1000
+    state = StateService(loop)
+    state.page_size = 1000
     state.on_accepted = lambda raw: log.write("commit", raw)
     await HttpServer(state.handle, 1000).start(HOST, port)
-    await state.expire()
+    await state.expire_leases()
 
 
 class Machine:
--- a/tests/sim/cells_world.py
+++ b/tests/sim/cells_world.py
@@ -1,4 +1,4 @@
-"""Several cells on one virtual clock, and a judge of what happens in all of them together."""
+"""Several cells on one virtual clock, with the steps that tests of handoffs need."""
 
 from __future__ import annotations
 
@@ -10,23 +10,24 @@
 from peathall.cells.settings import CellSettings, Neighbour
 from peathall.config.platform import Settings, parse
 from peathall.operator_config.settings import Operator
+from tests.sim.cells_judge import CellsJudge
 from tests.sim.net import Host, VirtualLoop
 from tests.sim.sites import controller_text, controller_text_with_next_limits
 from tests.sim.task_registry import TaskRegistry
 from tests.sim.test_days import draw_job, mute, virtual
-from tests.sim.worker import Task, Worker
+from tests.sim.worker import Worker
 from tests.sim.world import World
 
-LEASE_S = 14.0  # just over what the workers' lease of the sites in tests asks for
-HANDOFF, BORROWED = "handoff/", "borrowed/"
+LEASE_S = 14.0  # of handoffs; just over the least that the workers' lease allows
 
 
 def cell_name(cell: int) -> str:
+    """Name of the cell in the operators' settings."""
     return f"cell-{cell}"
 
 
 def operator_of(cell: int, count: int, size: int = 3) -> Operator:
-    """All cells know one another; idle machines are kept."""
+    """Operator settings of a cell: it knows all other cells, and idle machines are kept."""
     neighbours = [
         Neighbour(cell_name(other), [f"10.0.{other}.{i + 1}:8081" for i in range(size)])
         for other in range(count)
@@ -38,6 +39,7 @@
 
 
 def cell_settings(cell: int, size: int = 3, next_limits: bool = False) -> list[Settings]:
+    """Settings of the cell's controllers."""
     make = controller_text_with_next_limits if next_limits else controller_text
     texts = [make(index, size) for index in range(size)]
     return [
@@ -46,98 +48,8 @@
     ]
 
 
-class CellsJudge:
-    """A slow plain model: every accepted commit of every store, and every start in any cell."""
-
-    def __init__(self) -> None:
-        self.faults: list[str] = []
-        self.homes: dict[str, int] = {}  # job -> the cell whose user submitted it
-        self.limits: dict[str, tuple[float, float]] = {}  # team -> CPUs and GPUs, 0: none
-        self.on_machines: dict[Task, None] = {}
-        self.epochs: dict[str, int] = {}  # job -> the highest that was offered
-        self.granted: set[tuple[str, int]] = set()
-        self.lent: dict[str, tuple[int, str]] = {}  # job -> epoch and phase at its home, now
-        self.borrowed: dict[tuple[int, str], tuple[int, str]] = {}  # cell and job -> the same there
-        self.handoffs = self.changes = 0
-        self.ran_in: dict[str, list[int]] = {}  # job -> cells in which it has run, in order
-        self.watched: dict[tuple[str, str], Callable[[], None]] = {}  # job and step -> what to do
-
-    def commit(self, cell: int, raw: dict[str, Any]) -> None:
-        for op in raw["apply"]:
-            key, value = op.get("write", op.get("drop")), op.get("data")
-            kind, _, job = key.partition("/")
-            if kind + "/" == HANDOFF:
-                self.changes += 1
-                self.handoff(job, value)
-            elif kind + "/" == BORROWED:
-                self.changes += 1
-                self.borrow(cell, job, value)
-
-    def handoff(self, job: str, value: dict[str, Any] | None) -> None:
-        before = self.lent.pop(job, None)
-        if value is None:
-            return
-        epoch, phase = value["epoch"], value["phase"]
-        self.reached(job, phase)
-        self.lent[job] = (epoch, phase)
-        if phase == "offered":
-            if epoch <= self.epochs.get(job, 0):
-                self.faults.append(f"epoch {epoch} of {job} was offered before")
-            self.epochs[job] = epoch
-        elif before != (epoch, "offered"):
-            self.faults.append(f"{job} granted at epoch {epoch} after {before}")
-        else:
-            self.handoffs += 1
-            self.granted.add((job, epoch))
-
-    def borrow(self, cell: int, job: str, value: dict[str, Any] | None) -> None:
-        before = self.borrowed.pop((cell, job), None)
-        if value is None:
-            return
-        epoch, phase = value["epoch"], value["phase"]
-        self.reached(job, phase)
-        self.borrowed[cell, job] = (epoch, phase)
-        follows = {"reserved": None, "adopted": (epoch, "reserved"), "ended": (epoch, "adopted")}
-        if before != follows[phase]:
-            self.faults.append(f"{job} is {phase} in cell {cell} after {before}")
-        if phase != "reserved" and (job, epoch) not in self.granted:
-            self.faults.append(f"{job} is {phase} at epoch {epoch}, which was never granted")
-
-    def start(self, task: Task) -> None:
-        job = task.name.partition("/")[0]
-        cell = task.worker.network.cell
-        self.on_machines = {t: None for t in self.on_machines if t.counted}
-        self.on_machines[task] = None
-        mates = [t for t in self.on_machines if t.name.partition("/")[0] == job]
-        if {t.worker.network.cell for t in mates} != {cell}:
-            self.faults.append(f"{job} is in two cells")
-        if self.homes.get(job) not in (None, cell):
-            self.reached(job, "running")
-        ran = self.ran_in.setdefault(job, [])
-        if ran[-1:] != [cell]:
-            ran.append(cell)
-        self.check_limit(job, task.job["desk"])
-
-    def reached(self, job: str, step: str) -> None:
-        act = self.watched.pop((job, step), None)
-        if act is not None:
-            act()
-
-    def check_limit(self, job: str, team: str) -> None:
-        """A team's limit at home holds for its jobs of that home, wherever they are."""
-        home = self.homes.get(job)
-        used = [0.0, 0.0]
-        for task in self.on_machines:
-            if task.job["desk"] == team and self.homes.get(task.name.partition("/")[0]) == home:
-                used[0] += task.job["vcpus"]
-                used[1] += task.job["cards"]
-        for amount, most in zip(used, self.limits.get(team, (0.0, 0.0)), strict=True):
-            if most and amount > most + 1e-6:
-                self.faults.append(f"{team} uses {amount} of {most} in all cells")
-
-
 class Cells:
-    """The cells of a day."""
+    """The cells of a day, one `World` each, and the judge of them all."""
 
     def __init__(self, loop: VirtualLoop, seed: int, count: int, next_limits: bool = False) -> None:
         self.loop = loop
@@ -164,23 +76,25 @@
         self.judge.limits = {team.name: (team.cpus_max, team.gpus_max) for team in teams}
 
     async def begin(self) -> None:
+        """Starts the cells one after the other."""
         for world in self.worlds:
             await world.begin()
 
     def submit(
         self, cell: int, number: int, cancel_after: float | None = None, **change: Any
     ) -> Any:
-        """An urgent gang of one GPU machine, submitted in that cell."""
+        """Submits a high-priority gang with one task for a GPU machine in the cell."""
         job = gang(number) | change
         self.judge.homes[job["id"]] = cell
         ip = f"10.9.{number // 250}.{number % 250 + 1}"
         return self.worlds[cell].submit(job, ip, cancel_after)
 
     def job_id(self, number: int) -> str:
+        """Id of the job of that number."""
         return gang(number)["id"]
 
     async def fill(self, cell: int, first: int, count: int = 3, run_s: float = 90.0) -> list[Any]:
-        """Jobs that keep the cell's machines, of no lower priority than any other."""
+        """Fills the cell's machines with jobs that no other job may preempt."""
         done = [
             self.submit(cell, first + n, run_s=run_s, reckon_s=run_s, docket="c1")
             for n in range(count)
@@ -190,11 +104,12 @@
         return done
 
     async def warm(self, cell: int, first: int, count: int = 1) -> None:
-        """Bring machines up that are idle then."""
+        """Has machines provisioned that are idle then."""
         done = [self.submit(cell, first + n, run_s=2.0, docket="c1") for n in range(count)]
         await asyncio.gather(*done)
 
     def runs_in(self, cell: int, job_id: str) -> bool:
+        """Whether all tasks of the job run in the cell."""
         tasks = list(self.registry.by_job.get(job_id, ()))
         job = self.registry.jobs.get(job_id)
         return (
@@ -204,81 +119,87 @@
         )
 
     def phase(self, number: int) -> str | None:
-        """Of the job's handoff, as its home has stored it."""
-        found = self.judge.lent.get(self.job_id(number))
-        return found and found[1]
+        """Phase of the job's handoff as its home has stored it, None without a handoff."""
+        handoff = self.judge.handed_off.get(self.job_id(number))
+        return handoff and handoff[1]
 
     def leader(self, cell: int) -> Any:
-        """The leader's parts."""
+        """The term of the cell's leader, or None while no controller leads."""
         index = self.worlds[cell].leader()
         return None if index is None else self.worlds[cell].controllers[index][1].leader
 
     def crash_leader(self, cell: int, back_s: float) -> None:
+        """Crashes the cell's leader; it is started again after so many seconds."""
         index = self.worlds[cell].leader()
         if index is not None:
             self.worlds[cell].crash_controller(index, back_s)
 
-    def vanish(self, cell: int, seconds: float, hears: bool = False, heard: bool = False) -> None:
-        """Its controllers lose the other cells' controllers, in one direction or both."""
-        mine = [f"10.0.{cell}.{i + 1}" for i in range(3)]
+    def isolate(
+        self, cell: int, seconds: float, receives: bool = False, sends: bool = False
+    ) -> None:
+        """Partitions the cell's controllers from those of all other cells; they may still receive
+        from them or send to them."""
+        own = [f"10.0.{cell}.{i + 1}" for i in range(3)]
         others = [
             f"10.0.{o}.{i + 1}" for o in range(len(self.worlds)) if o != cell for i in range(3)
         ]
-        ways = [(a, b) for a in mine for b in others]
-        if not heard:
+        ways = [(a, b) for a in own for b in others]
+        if not sends:
             mute(self.worlds[0], ways, seconds)
-        if not hears:
+        if not receives:
             mute(self.worlds[0], [(b, a) for a, b in ways], seconds)
 
-    def lose(self, worker: Worker, trouble: str, seconds: float) -> None:
-        """The machine hears nothing from now on, or is not heard, or neither, or hangs."""
+    def disturb_worker(self, worker: Worker, trouble: str, seconds: float) -> None:
+        """From now on the machine can't send ("mute"), can't receive ("deaf") or neither
+        ("cut off"), all for 50 s, or is "hung" for so many seconds."""
         cell, ip = worker.network.cell, worker.host.ip
-        there = [(f"10.0.{cell}.{i + 1}", ip) for i in range(3)]
-        back = [(b, a) for a, b in there]
+        inbound = [(f"10.0.{cell}.{i + 1}", ip) for i in range(3)]
+        outbound = [(b, a) for a, b in inbound]
         if trouble == "hung":
             worker.host.frozen_until = self.loop.now + seconds
         else:
-            ways = {"mute": back, "deaf": there, "cut off": there + back}
+            ways = {"mute": outbound, "deaf": inbound, "cut off": inbound + outbound}
             mute(self.worlds[cell], ways[trouble], 50.0)
 
     def at(self, number: int, step: str, act: Callable[[], None]) -> asyncio.Event:
-        """`act` is called once, right after the job's handoff has come to this step."""
-        seen = asyncio.Event()
+        """Calls `act` once, right after the job's handoff has come to this step."""
+        reached = asyncio.Event()
 
         def later() -> None:
-            nobody = self.worlds[0].context(Host("10.9.9.8"))  # whose host is never frozen
-            self.loop.call_later(0.001, act, context=nobody)
-            seen.set()
+            never_frozen = self.worlds[0].context(Host("10.9.9.8"))
+            self.loop.call_later(0.001, act, context=never_frozen)
+            reached.set()
 
-        self.judge.watched[self.job_id(number), step] = later
-        return seen
+        self.judge.actions[self.job_id(number), step] = later
+        return reached
 
     async def ask(self, cell: int, method: str, path: str, raw: Any, at: int) -> Any:
-        """A user's request to one controller of the cell."""
+        """Status and body of a controller's response to a user, status 0 without one."""
         world = self.worlds[cell]
         context = world.context(Host("10.9.9.9"))
         return await self.loop.create_task(world.ask(method, path, raw, at), context=context)
 
     async def until(self, reached: Callable[[], Any], limit_s: float = 60.0) -> float:
-        """Seconds until it is reached."""
+        """Seconds until the condition holds; it must within the limit."""
         began = self.loop.now
         while not reached():
-            assert self.loop.now - began < limit_s, "not reached in time"
+            assert self.loop.now - began < limit_s, "the condition does not hold in time"
             await asyncio.sleep(0.05)
         return self.loop.now - began
 
     def check(self) -> None:
-        """The judgement of the day."""
+        """No rule was broken, of one cell or of all together."""
         assert self.judge.faults == [], self.judge.faults
         for world in self.worlds:
             assert world.broken == [], world.broken
 
     async def settle(self) -> None:
-        """Nothing is handed off any more."""
-        await self.until(lambda: not self.judge.lent and not self.judge.borrowed, 120.0)
+        """Waits until no job is handed off any more."""
+        await self.until(lambda: not self.judge.handed_off and not self.judge.borrowed, 120.0)
 
 
 def gang(number: int) -> dict[str, Any]:
+    """A high-priority gang with one task that takes most of a GPU machine."""
     return draw_job(random.Random(number), number) | {
         "docket": "c0", "desk": "blue", "shape": "ensemble", "precedence": "high", "parcels": 1,
         "vcpus": 2.0, "cards": 3.0, "ram_gb": 4.0, "builds": ["big"], "ward": None,
@@ -293,23 +214,24 @@
     count: int = 2,
     next_limits: bool = False,
 ) -> Cells:
-    """The day, and after it the judgement."""
+    """Plays the day and checks the rules at its end."""
     with virtual(seed) as loop:
         cells = Cells(loop, seed, count, next_limits)
 
-        async def all_of_it() -> None:
+        async def whole_day() -> None:
             watching = [loop.create_task(watch(world)) for world in cells.worlds]
             await day(cells)
             await cells.settle()
             for task in watching:
                 task.cancel()
 
-        loop.run_until_complete(all_of_it())
+        loop.run_until_complete(whole_day())
         cells.check()
         return cells
 
 
 async def watch(world: World) -> None:
+    """Checks twice a second that cancelled jobs leave their machines."""
     while True:
         world.check_cancelled()
         await asyncio.sleep(0.5)
--- a/tests/sim/fleet_day.py
+++ b/tests/sim/fleet_day.py
@@ -1,4 +1,4 @@
-"""A day with a large fleet: it is rented, serves, loses its leader, and then a fifth of itself."""
+"""A day with a large fleet: provisioning, steady work, failover, and the loss of a fifth."""
 
 from __future__ import annotations
 
@@ -17,32 +17,36 @@
 from tests.sim.world import World
 
 TASKS = 4  # on each machine
+MACHINES_STARTED = 0.95  # share that is enough: a few machines never start
+MACHINES_REPLACED = 0.93  # the same after a fifth was lost and replaced
 
 
 @dataclass
 class FleetDay:
-    """What a day came to; processor times are of the leader, in seconds of a whole core."""
+    """Figures of a day; processor times are of the leader, in seconds of a whole core."""
 
     machines: int
-    rented_s: float = 0.0  # until all machines worked
-    takeover_s: float = 0.0  # from the leader's end until all machines reported to the next one
+    provisioned_s: float = 0.0  # until all machines were full of tasks
+    failover_s: float = 0.0  # from the leader's crash until the next had heartbeats of them all
     replaced_s: float = 0.0  # until the machines that were lost had been replaced
-    deleted_alive: int = 0  # machines that lived and were returned all the same
-    checkin_s: float = 0.0  # the longest wait for an answer
-    checkins: dict[int, int] = field(default_factory=dict)
-    steady_share: float = 0.0  # of a core, while nothing happens
+    deleted_alive: int = 0  # machines that ran and were deleted all the same
+    heartbeat_wait_s: float = 0.0  # the longest wait for a good response to a heartbeat
+    heartbeat_responses: dict[int, int] = field(default_factory=dict)  # status -> number
+    steady_share: float = 0.0  # of a core, while nothing changes
     cloud_refused: int = 0
     broken: list[str] = field(default_factory=list)
 
 
-def fleet_settings(report_s: float, controllers: int = 3, cpu_share: float = 1.0) -> list[Settings]:
-    """A site whose teams have no limits, with the smallest machines that a site has. Workers'
-    times are all in proportion to their reports."""
+def fleet_settings(
+    heartbeat_s: float, controllers: int = 3, cpu_share: float = 1.0
+) -> list[Settings]:
+    """A site whose team has no limits, with the smallest machine limits of any site. The workers'
+    times are all in proportion to the interval of their heartbeats."""
     replace = msgspec.structs.replace
     plain = [controller_settings(i, controllers) for i in range(controllers)]
     limits = Limits(cpu_share, 146.0, 800)
     cloud = CloudSettings(4.0, 4.0)
-    workers = WorkerSettings(report_s, 4 * report_s, 7 * report_s, 4.0, 9 * report_s)
+    workers = WorkerSettings(heartbeat_s, 4 * heartbeat_s, 7 * heartbeat_s, 4.0, 9 * heartbeat_s)
     return [
         replace(
             s,
@@ -59,7 +63,7 @@
 
 
 def filling_job(number: int, tasks: int) -> dict[str, Any]:
-    """Tasks that outlast the day, four to a machine."""
+    """An array whose tasks outlast the day, four to a machine."""
     return draw_job(random.Random(number), number) | {
         "docket": "c0", "desk": "blue", "shape": "sweep", "parcels": tasks,
         "vcpus": 1.0, "cards": 0.0, "ram_gb": 4.0, "builds": ["small"], "ward": None,
@@ -71,98 +75,101 @@
     """Plays the day step by step."""
 
     def __init__(
-        self, loop: VirtualLoop, machines: int, share: float = 0.0, report_s: float = 3.0
+        self, loop: VirtualLoop, machines: int, cpu_share: float = 0.0, heartbeat_s: float = 3.0
     ) -> None:
         self.loop = loop
-        self.share = share
-        timing = Timing(report_s, 4 * report_s, 9 * report_s)
-        settings = fleet_settings(report_s, cpu_share=share or 1.0)
+        self.cpu_share = cpu_share
+        timing = Timing(heartbeat_s, 4 * heartbeat_s, 9 * heartbeat_s)
+        settings = fleet_settings(heartbeat_s, cpu_share=cpu_share or 1.0)
         self.world = World(loop, 21, settings, timing=timing)
         self.world.cloud.capacity = machines
-        self.world.state.page = 1000
+        self.world.state.page_size = 1000
         self.world.cloud.rps = 4.0
         self.day = FleetDay(machines)
 
     def leader(self) -> Any:
-        """The leader's parts, or None."""
+        """The leader's term, or None while no controller leads."""
         index = self.world.leader()
         return None if index is None else self.world.controllers[index][1].leader
 
     def meter(self) -> None:
-        """From now on the controllers' processor time is measured, and charged by their share."""
+        """Measures the controllers' processor time from now on, and lets it take virtual time by
+        their share of a core if that is set."""
         for host, _ in self.world.controllers.values():
-            host.metered, host.share = True, self.share
+            host.metered, host.cpu_share = True, self.cpu_share
 
-    def working(self) -> int:
-        """Machines on which all tasks run."""
+    def full_machines(self) -> int:
+        """Number of machines on which all their tasks run."""
         return sum(
             sum(t.state == "running" for t in w.tasks.values()) == TASKS
             for w in self.world.workers.values()
         )
 
     async def until(self, reached: Any, limit_s: float) -> float:
-        """Seconds until it is reached; the limit if it is not."""
+        """Seconds until the condition holds; the limit if it does not."""
         began = self.loop.now
         while not reached() and self.loop.now - began < limit_s:
             await asyncio.sleep(0.5)
         return self.loop.now - began
 
-    async def rent(self, limit_s: float) -> None:
+    async def provision(self, limit_s: float) -> None:
+        """Starts the site and submits work for all machines."""
         await self.world.begin()
         self.meter()
         tasks = TASKS * self.day.machines // 4
         for number in range(1, 5):
             self.world.submit(filling_job(number, tasks), f"10.9.0.{number}")
-        # A few machines never come up.
-        enough = 0.95 * self.day.machines
-        self.day.rented_s = await self.until(lambda: self.working() >= enough, limit_s)
+        enough = MACHINES_STARTED * self.day.machines
+        self.day.provisioned_s = await self.until(lambda: self.full_machines() >= enough, limit_s)
 
     async def steady(self, seconds: float) -> None:
+        """Measures the leader's processor time while nothing changes."""
         index = self.world.leader()
         assert index is not None
         host = self.world.controllers[index][0]
-        before = host.busy_s
+        before = host.cpu_s
         await asyncio.sleep(seconds)
-        self.day.steady_share = (host.busy_s - before) / seconds
+        self.day.steady_share = (host.cpu_s - before) / seconds
 
-    async def take_over(self, limit_s: float) -> None:
+    async def fail_over(self, limit_s: float) -> None:
+        """Crashes the leader, and waits for the next to have heartbeats of the machines."""
         index = self.world.leader()
         assert index is not None
         self.world.crash_controller(index, 4.0)
         alive = {n for n, w in self.world.workers.items() if w.state == "running"}
 
-        def all_heard() -> bool:
+        def all_confirmed() -> bool:
             leader = self.leader()
             if leader is None:
                 return False
             machines = leader.cluster.machines
-            heard = [n for n in alive if n in machines and machines[n].confirmed]
-            return len(heard) >= 0.99 * len(alive)
+            confirmed = [n for n in alive if n in machines and machines[n].confirmed]
+            return len(confirmed) >= 0.99 * len(alive)
 
-        self.day.takeover_s = await self.until(all_heard, limit_s)
+        self.day.failover_s = await self.until(all_confirmed, limit_s)
         self.meter()
         await asyncio.sleep(6 * self.world.timing.heartbeat_s)
         self.day.deleted_alive = len(alive - self.world.workers.keys())
 
-    async def lose(self, limit_s: float) -> None:
-        """A fifth stops without a word; the cloud lists it as running for a while."""
+    async def lose_machines(self, limit_s: float) -> None:
+        """A fifth of the machines fails, and the cloud goes on to list them as running."""
         alive = [w for w in self.world.workers.values() if w.state == "running"]
         lost = alive[::5]
         for worker in lost:
             worker.die()
             worker.state = "running"
         names = {w.name for w in lost}
-        enough = 0.93 * self.day.machines
+        enough = MACHINES_REPLACED * self.day.machines
 
         def replaced() -> bool:
-            return not names & self.world.workers.keys() and self.working() >= enough
+            return not names & self.world.workers.keys() and self.full_machines() >= enough
 
         self.day.replaced_s = await self.until(replaced, limit_s)
 
     def finish(self) -> FleetDay:
         """The day's figures."""
-        self.day.checkin_s = self.world.heartbeats.longest_wait_s
-        self.day.checkins = dict(sorted(self.world.heartbeats.responses.items()))
+        self.day.heartbeat_wait_s = self.world.heartbeats.longest_wait_s
+        self.day.heartbeat_responses = dict(sorted(self.world.heartbeats.responses.items()))
         self.day.cloud_refused = self.world.cloud.refused
         self.day.broken = self.world.broken
         return self.day
--- a/tests/sim/net.py
+++ b/tests/sim/net.py
@@ -12,38 +12,40 @@
 
 
 class Host:
-    """One life of a machine on the network; a restart is a new Host with the same address."""
+    """One incarnation of a machine on the network; a restart is a new Host at its address."""
 
     def __init__(self, ip: str) -> None:
         self.ip = ip
         self.alive = True
-        self.deferred = 0
-        self.frozen_until = -1.0  # nothing of it runs until then, though its clocks go on
+        self.deferred = 0  # callbacks that were due while it was frozen
+        self.frozen_until = -1.0  # no callback of it runs until then; its clocks go on
         self.tasks: dict[asyncio.Task[Any], None] = {}  # ordered, unlike a set
         self.transports: dict[MemoryTransport, None] = {}
-        self.share = 0.0  # of a core that it has; 0: nothing is charged
-        self.busy_s = 0.0  # processor time that it took, while it is charged or metered
+        self.cpu_share = 0.0  # of a core that it has; 0: its processor time costs no virtual time
+        self.cpu_s = 0.0  # processor time that it took while it was metered
         self.metered = False
 
 
 HOST: contextvars.ContextVar[Host] = contextvars.ContextVar("host")
-CALLER: contextvars.ContextVar[str] = contextvars.ContextVar("caller")  # who asks a server
+CALLER: contextvars.ContextVar[str] = contextvars.ContextVar("caller")  # client's address
 
 
 class VirtualSelector(selectors.SelectSelector):
-    """Instead of waiting, moves the clock."""
+    """Advances the virtual clock instead of waiting."""
 
     loop: VirtualLoop
 
     def select(self, timeout: float | None = None) -> Any:
         ready = super().select(0)
         if not ready:
-            assert timeout is not None, "nothing left to happen"
+            assert timeout is not None, "no callback is scheduled"
             self.loop.now += max(0.0, timeout)
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
+    """An event loop with a virtual clock and a network of its own; `now` is in seconds."""
+
     def __init__(self, seed: int) -> None:
         self.now = 0.0
         selector = VirtualSelector()
@@ -51,21 +53,24 @@
         super().__init__(selector)
         self.rng = random.Random(seed)
         self.listeners: dict[tuple[str, int], tuple[Host, Callable[[], Any], Any]] = {}
-        self.held: set[tuple[str, str]] = set()  # from, to: hosts whose packets are held back
+        self.blocked: set[tuple[str, str]] = set()  # source and destination of held packets
         self.set_task_factory(self._make_task)
 
     def time(self) -> float:
+        """The virtual time in seconds."""
         return self.now
 
-    # --- hosts that stand still ----------------------------------------------
+    # --- frozen hosts --------------------------------------------------------
     def call_soon(self, callback: Any, *args: Any, context: Any = None) -> Any:
-        return self._gated(super().call_soon, callback, args, context)
+        """As of any loop, delayed while the host is frozen."""
+        return self._call_on_host(super().call_soon, callback, args, context)
 
     def call_at(self, when: float, callback: Any, *args: Any, context: Any = None) -> Any:
-        return self._gated(super().call_at, callback, args, context, when)
+        """As of any loop, delayed while the host is frozen."""
+        return self._call_on_host(super().call_at, callback, args, context, when)
 
-    def _gated(self, call: Any, callback: Any, args: Any, context: Any, *when: float) -> Any:
-        """What belongs to a host runs when the host does; cancelling it works meanwhile."""
+    def _call_on_host(self, call: Any, callback: Any, args: Any, context: Any, *when: float) -> Any:
+        """A callback of a host runs when the host is not frozen; until then it can be cancelled."""
         context = context or contextvars.copy_context()
         host = context.get(HOST)
         if host is None:
@@ -80,16 +85,16 @@
                 began = time.thread_time()
                 callback(*args)
                 spent = time.thread_time() - began
-                host.busy_s += spent
-                if host.share:  # what it does takes it longer than us
-                    host.frozen_until = self.now + spent / host.share
+                host.cpu_s += spent
+                if host.cpu_share:  # on its share of a core the callback takes longer
+                    host.frozen_until = self.now + spent / host.cpu_share
             elif host.alive and not handles[0].cancelled():
-                # In the order in which it would have run: all of it is due at once.
+                # All of them are due at once then: the offset keeps their order.
                 host.deferred += 1
                 at = host.frozen_until + 1e-9 * host.deferred
-                super(VirtualLoop, self).call_at(at, again, context=contextvars.copy_context())
+                super(VirtualLoop, self).call_at(at, retry, context=contextvars.copy_context())
 
-        def again() -> None:
+        def retry() -> None:
             if not handles[0].cancelled():
                 run()
 
@@ -107,60 +112,69 @@
 
     # --- network -------------------------------------------------------------
     def delay(self) -> float:
+        """Seconds that the next packet takes."""
         return 0.0005 + self.rng.random() * 0.002 + (0.2 if self.rng.random() < 0.001 else 0.0)
 
-    def cut(self, a: str, b: str) -> bool:
-        """Whether packets from a to b are held back."""
-        return (a, b) in self.held
+    def is_blocked(self, source: str, destination: str) -> bool:
+        """Whether packets between these addresses are held back, in this direction."""
+        return (source, destination) in self.blocked
 
     async def create_server(
         self, factory: Any, host: Any = None, port: Any = None, **_: Any
     ) -> Any:
-        me = HOST.get()
+        """Listens at the address, on the host that calls."""
+        local = HOST.get()
         key = (host, port)
-        self.listeners[key] = (me, factory, contextvars.copy_context())
-        return MemoryServer(self, key, me)
+        self.listeners[key] = (local, factory, contextvars.copy_context())
+        return MemoryServer(self, key, local)
 
     async def create_connection(
         self, factory: Any, host: Any = None, port: Any = None, **_: Any
     ) -> Any:
-        me = HOST.get()
+        """Connects the host that calls to a server; without an answer it waits for an hour."""
+        local = HOST.get()
         await asyncio.sleep(self.delay())
-        if self.cut(me.ip, host):
+        if self.is_blocked(local.ip, host):
             await asyncio.sleep(3600)
         entry = self.listeners.get((host, port))
-        if entry is None or not entry[0].alive or not me.alive:
+        if entry is None or not entry[0].alive or not local.alive:
             raise ConnectionRefusedError("refused")
-        there, make, context = entry
-        mine = MemoryTransport(self, me, contextvars.copy_context())
-        yours = MemoryTransport(self, there, context.copy())
-        mine.peer, yours.peer = yours, mine
-        yours.context.run(CALLER.set, me.ip)
-        mine.protocol, yours.protocol = factory(), yours.context.run(make)
-        yours.context.run(yours.protocol.connection_made, yours)
-        mine.protocol.connection_made(mine)
-        return mine, mine.protocol
+        remote, make, context = entry
+        client = MemoryTransport(self, local, contextvars.copy_context())
+        server = MemoryTransport(self, remote, context.copy())
+        client.peer, server.peer = server, client
+        server.context.run(CALLER.set, local.ip)
+        client.protocol, server.protocol = factory(), server.context.run(make)
+        server.context.run(server.protocol.connection_made, server)
+        client.protocol.connection_made(client)
+        return client, client.protocol
 
     def crash(self, host: Host) -> None:
+        """Ends all that runs on the host, and its connections."""
         host.alive = False
         self.listeners = {k: v for k, v in self.listeners.items() if v[0] is not host}
         for transport in list(host.transports):
-            transport.vanish()
+            transport.peer_closed()
         for task in list(host.tasks):
             task.cancel()
 
 
 class MemoryServer:
+    """A listening address of the in-memory network."""
+
     def __init__(self, loop: VirtualLoop, key: tuple[str, int], host: Host) -> None:
         self.loop, self.key, self.host = loop, key, host
 
     def close(self) -> None:
+        """Stops listening; a server that listens there by now is left alone."""
         entry = self.loop.listeners.get(self.key)
         if entry is not None and entry[0] is self.host:
             del self.loop.listeners[self.key]
 
 
 class MemoryTransport(asyncio.Transport):
+    """One side of a connection: bytes arrive at the other side in order and after a delay."""
+
     peer: MemoryTransport
     protocol: Any
 
@@ -168,43 +182,47 @@
         super().__init__()
         self.loop, self.host, self.context = loop, host, context
         self.closed = False
-        self.last = 0.0  # arrival of the latest packet sent: order is kept
+        self.last_arrival = 0.0  # of the packets sent so far, which arrive in order
         host.transports[self] = None
 
     def is_closing(self) -> bool:
+        """Whether this side is closed."""
         return self.closed
 
     def _later(self, action: Callable[[], None]) -> None:
-        # Strictly later than the one before: timers of one instant come in no order.
-        self.last = max(self.last + 1e-6, self.loop.now + self.loop.delay())
-        self.loop.call_at(self.last, self._arrive, action, context=self.peer.context)
+        # Strictly later than the one before: timers of one instant run in no defined order.
+        self.last_arrival = max(self.last_arrival + 1e-6, self.loop.now + self.loop.delay())
+        self.loop.call_at(self.last_arrival, self._arrive, action, context=self.peer.context)
 
     def _arrive(self, action: Callable[[], None]) -> None:
-        if self.loop.cut(self.host.ip, self.peer.host.ip):
-            # Held back, and delivered in order after the cut, however late.
+        if self.loop.is_blocked(self.host.ip, self.peer.host.ip):
+            # Held back, and delivered in order once the way is free, however late.
             self.loop.call_later(0.25, self._arrive, action, context=self.peer.context)
         else:
             action()
 
     def write(self, data: Any) -> None:
+        """Sends bytes to the other side."""
         if data and not self.closed and self.host.alive:
             self._later(lambda: self.peer.receive(bytes(data)))
 
     def receive(self, data: bytes) -> None:
+        """Bytes from the other side have arrived."""
         if not self.closed and self.host.alive:
             self.protocol.data_received(data)
 
     def close(self) -> None:
+        """Closes both sides; the other learns of it after a delay."""
         if not self.closed:
             self.closed = True
             self.host.transports.pop(self, None)
             self.loop.call_soon(self.protocol.connection_lost, None, context=self.context)
-            self._later(self.peer.vanish)
+            self._later(self.peer.peer_closed)
 
     abort = close
 
-    def vanish(self) -> None:
-        """The other side closed, or this host died."""
+    def peer_closed(self) -> None:
+        """The other side has closed the connection, or this host has crashed."""
         if self.closed:
             return
         self.closed = True
@@ -212,4 +230,4 @@
         if self.host.alive:
             self.protocol.connection_lost(None)
         else:
-            self._later(self.peer.vanish)
+            self._later(self.peer.peer_closed)
--- a/tests/sim/sites.py
+++ b/tests/sim/sites.py
@@ -4,7 +4,7 @@
 
 from peathall.config.platform import Settings, parse
 
-_NODE = """
+_CONTROLLER = """
 member = "hall-{i}"
 location = "{zone}"
 api_addr = "10.0.0.{n}:8080"
@@ -44,23 +44,23 @@
 list_lag_s = 4.0
 """
 
-# Smaller limits of the state service that begin some day.
+# Smaller limits of the state service, announced for a later time.
 NEXT_LIMITS = "[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = {write_rps}\n"
 
 
 def controller_text(index: int, size: int = 3) -> str:
-    """The settings file of one of `size` controllers, which stand in two zones."""
+    """The settings file of one of `size` controllers, which are in two zones by turns."""
     peers = "".join(
         f'[[known]]\nmember = "hall-{k}"\nlocation = "a"\nendpoint = "10.0.0.{k + 1}:8081"\n'
         for k in range(size)
         if k != index
     )
     zone = "ab"[index % 2]
-    return _NODE.format(i=index, n=index + 1, zone=zone, peers=peers, size=size)
+    return _CONTROLLER.format(i=index, n=index + 1, zone=zone, peers=peers, size=size)
 
 
 def controller_text_with_next_limits(index: int, size: int = 3, write_rps: float = 30.0) -> str:
-    """The same, naming the limits to come."""
+    """The same with the announced limits, `write_rps` in changes a second."""
     limits = NEXT_LIMITS.format(write_rps=write_rps)
     return controller_text(index, size).replace("[params.cloud]", limits + "[params.cloud]")
 
--- a/tests/sim/state.py
+++ b/tests/sim/state.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 import asyncio
-from bisect import bisect_right as bisect
+from bisect import bisect_right
 from collections.abc import Callable
 from typing import Any
 from urllib.parse import parse_qs, unquote
@@ -13,74 +13,98 @@
 from peathall.protocol import codec
 from tests.sim.net import CALLER, VirtualLoop
 
+NO_ANSWER_S = 3600.0  # a request that is not answered waits for so long
+
+
+class StateService:
+    """Holds the records and the leases, and answers requests, with the faults that are set."""
 
-class State:
     def __init__(self, loop: VirtualLoop, ip: str = "10.2.0.1") -> None:
         self.loop = loop
         self.ip = ip
-        self.data: dict[str, tuple[Any, int, int | None]] = {}  # value, version, lease
-        self.leases: dict[int, tuple[float, float]] = {}  # id -> ttl, ends
+        self.data: dict[str, tuple[Any, int, int | None]] = {}  # key -> value, version, lease
+        self.leases: dict[int, tuple[float, float]] = {}  # id -> time to live, end
         self.revision = 0
-        self.changes: list[tuple[int, str, Any, bool]] = []
+        self.changes: list[tuple[int, str, Any, bool]] = []  # revision, key, value, deleted
         self.changed = asyncio.Event()
         self.next_lease = 0
-        self.down_until = -1.0
-        self.copies = 0.0  # share of requests of which a late copy is carried out once more
+
+        # Limits.
         self.value_kb, self.txn_ops = 8.0, 12
-        self.page = 7  # keys; small, so that paging is exercised
+        self.page_size = 7  # keys; small, so that paging is exercised
+        self.rate_limits: tuple[float, float] = (1e9, 1e9)  # requests and changes a second
+        self.limit_used = [0.0, 0.0]  # of the same
+        self.limit_used_at = 0.0
+        self.requests = self.refused = 0
+
+        # Faults; a share is of the requests or commits that are concerned.
+        self.down_until = -1.0
+        self.refused_until: dict[str, float] = {}  # callers that alone get 503
+        self.copies_share = 0.0  # of requests of which a late copy is carried out once more
+        self.late_share = 0.0  # of commits without an answer that are carried out 2 to 12 s late
+        self.lost_share = 0.0  # of commits that are carried out at once, their answer lost
+        self.slow_share = 0.0  # of requests that, and of answers that, take up to a second
+        self.lossy_share = 0.0  # of commits without an answer; half of them are applied late
+
+        # Observers.
         self.on_invalid: Callable[[str], None] = lambda what: None
         # Called with each transaction whose conditions hold, just before it is applied.
         self.on_accepted: Callable[[dict[str, Any]], None] = lambda raw: None
         # Called with each transaction before it is carried out; its answer is lost if it says so.
         self.on_commit: Callable[[dict[str, Any]], bool] = lambda raw: False
-        self.limits: tuple[float, float] = (1e9, 1e9)  # requests and changes a second
-        self.spent = [0.0, 0.0]
-        self.spent_at = 0.0
-        self.requests = self.refused = 0
-        self.refused_until: dict[str, float] = {}  # callers that alone get 503
-        self.late = 0.0  # share of commits without an answer that are carried out 2 to 12 s late
-        self.lost = 0.0  # share of commits that are carried out at once, their answer lost
-        self.slow = 0.0  # share of requests that, and of answers that, take up to a second
-        self.lossy = 0.0  # share of commits without an answer; half of them are applied late
 
     @property
     def down(self) -> bool:
+        """Whether an outage lasts."""
         return self.loop.now < self.down_until
 
     def outage(self, seconds: float) -> None:
+        """Answers nothing but 503 for so long."""
         self.down_until = self.loop.now + seconds
         # After an outage all leases have their full time again.
         self.leases = {k: (ttl, self.down_until + ttl) for k, (ttl, _) in self.leases.items()}
 
     async def start(self) -> None:
+        """Listens on the host that calls."""
         await HttpServer(self.handle, 10_000).start(self.ip, 2379)
-        self.loop.create_task(self.expire())
+        self.loop.create_task(self.expire_leases())
 
-    async def expire(self) -> None:
+    # --- records and leases --------------------------------------------------
+    async def expire_leases(self) -> None:
+        """Ends each lease when its time is over; none expires in an outage."""
         while True:
             await asyncio.sleep(0.05)
             if not self.down:
                 for lease, (_, ends) in list(self.leases.items()):
                     if self.loop.now > ends:
-                        self.end(lease)
+                        self.end_lease(lease)
 
-    def end(self, lease: int) -> None:
+    def end_lease(self, lease: int) -> None:
+        """The lease ends, and the records that depend on it are deleted."""
         if self.leases.pop(lease, None) is not None:
             for key, (_, _, owner) in list(self.data.items()):
                 if owner == lease:
                     self.revision += 1
-                    self.drop(key)
+                    self.delete(key)
+
+    def renew_lease(self, lease: int) -> None:
+        """The lease has its full time again."""
+        ttl = self.leases[lease][0]
+        self.leases[lease] = (ttl, self.loop.now + ttl)
 
-    def note(self, key: str, value: Any, deleted: bool) -> None:
+    def record_change(self, key: str, value: Any, deleted: bool) -> None:
+        """Keeps the change for watches and wakes them."""
         self.changes.append((self.revision, key, value, deleted))
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def drop(self, key: str) -> None:
+    def delete(self, key: str) -> None:
+        """Deletes a record if it exists."""
         if self.data.pop(key, None) is not None:
-            self.note(key, None, True)
+            self.record_change(key, None, True)
 
     def commit(self, raw: dict[str, Any]) -> Response:
+        """Carries a transaction out if its conditions hold and it is within the limits."""
         failed = [
             w["k"] for w in raw["when"] if self.data.get(w["k"], (None, 0, None))[1] != w["stamp"]
         ]
@@ -98,49 +122,73 @@
         for op in raw["apply"]:
             if "write" in op:
                 self.data[op["write"]] = (op["data"], self.revision, op.get("tenancy"))
-                self.note(op["write"], op["data"], False)
+                self.record_change(op["write"], op["data"], False)
             else:
-                self.drop(op["drop"])
+                self.delete(op["drop"])
         return codec.cbor_response(200, {"epoch": self.revision})
 
-    def again(self, method: str, path: str, raw: Any) -> None:
-        """A late copy of a request that was carried out."""
+    # --- faults --------------------------------------------------------------
+    def repeat(self, method: str, path: str, raw: Any) -> None:
+        """Carries a late copy of a request out, unless an outage lasts."""
         if self.down:
             return
         if path == "/commit":
             self.commit(raw)
         elif method == "DELETE":
-            self.end(int(path.split("/")[2]))
+            self.end_lease(int(path.split("/")[2]))
         elif path.endswith("/renew") and (lease := int(path.split("/")[2])) in self.leases:
-            ttl = self.leases[lease][0]
-            self.leases[lease] = (ttl, self.loop.now + ttl)
+            self.renew_lease(lease)
+
+    async def commit_with_faults(self, raw: Any) -> Response:
+        """Carries a transaction out, perhaps late, and perhaps without an answer."""
+        rng = self.loop.rng
+        if self.on_commit(raw):
+            self.commit(raw)
+            await asyncio.sleep(NO_ANSWER_S)
+        drawn = rng.random() if self.late_share + self.lost_share else 1.0
+        if drawn < self.late_share + self.lost_share:
+            if drawn < self.late_share:
+                self.loop.call_later(2 + 10 * rng.random(), self.repeat, "", "/commit", raw)
+            else:
+                self.commit(raw)
+            await asyncio.sleep(NO_ANSWER_S)
+        if rng.random() < self.lossy_share:
+            if rng.random() < 0.5:
+                self.loop.call_later(1 + 5 * rng.random(), self.commit, raw)
+            else:
+                self.commit(raw)
+            await asyncio.sleep(NO_ANSWER_S)
+        return self.commit(raw)
 
     def over_limit(self, changes: int) -> bool:
-        """Bursts of one second's worth are allowed."""
+        """Whether a request exceeds a rate limit; bursts of one second's worth are allowed."""
         self.requests += 1
-        for kind, rate in enumerate(self.limits):
-            self.spent[kind] = max(0.0, self.spent[kind] - rate * (self.loop.now - self.spent_at))
-        self.spent_at = self.loop.now
+        passed = self.loop.now - self.limit_used_at
+        for kind, rate in enumerate(self.rate_limits):
+            self.limit_used[kind] = max(0.0, self.limit_used[kind] - rate * passed)
+        self.limit_used_at = self.loop.now
         for kind, amount in enumerate((1, changes)):
-            if self.spent[kind] + amount > self.limits[kind] + 1.0:
+            if self.limit_used[kind] + amount > self.rate_limits[kind] + 1.0:
                 self.refused += 1
                 return True
-            self.spent[kind] += amount
+            self.limit_used[kind] += amount
         return False
 
+    # --- requests ------------------------------------------------------------
     async def handle(self, request: Request) -> Response:
+        """Answers a request after the time that it takes."""
         await asyncio.sleep(self.loop.rng.random() * 0.01)
-        # Nothing is drawn for a trouble that is not on: the days of old seeds stay as they were.
-        if self.slow and self.loop.rng.random() < self.slow:
+        # Nothing is drawn for a fault that is not set: the days of old seeds stay as they were.
+        if self.slow_share and self.loop.rng.random() < self.slow_share:
             await asyncio.sleep(self.loop.rng.random())
         response = await self.carry_out(request)
-        if (
-            self.slow and self.loop.rng.random() < self.slow
-        ):  # what was done, others may read before the answer
+        # Others may read what was done before its answer arrives.
+        if self.slow_share and self.loop.rng.random() < self.slow_share:
             await asyncio.sleep(self.loop.rng.random())
         return response
 
     async def carry_out(self, request: Request) -> Response:
+        """Answers a request within the limits and with the faults that are set."""
         path, query = request.path, {k: v[0] for k, v in parse_qs(request.query).items()}
         raw = codec.cbor_any(request.body)
         if self.over_limit(len(raw["apply"]) if path == "/commit" else 0):
@@ -149,35 +197,15 @@
             return await self.watch(query)
         if self.down or self.loop.now < self.refused_until.get(CALLER.get(), -1.0):
             return codec.cbor_response(503, {})
-        if request.method != "GET" and self.loop.rng.random() < self.copies:
+        if request.method != "GET" and self.loop.rng.random() < self.copies_share:
             delay = 0.5 + 30 * self.loop.rng.random()
-            self.loop.call_later(delay, self.again, request.method, path, raw)
+            self.loop.call_later(delay, self.repeat, request.method, path, raw)
         if path == "/commit":
-            if self.on_commit(raw):
-                self.commit(raw)
-                await asyncio.sleep(3600)
-            drawn = self.loop.rng.random() if self.late + self.lost else 1.0
-            if drawn < self.late + self.lost:
-                if drawn < self.late:
-                    self.loop.call_later(2 + 10 * self.loop.rng.random(), self.again, "", path, raw)
-                else:
-                    self.commit(raw)
-                await asyncio.sleep(3600)
-            if self.loop.rng.random() < self.lossy:
-                if self.loop.rng.random() < 0.5:
-                    self.loop.call_later(1 + 5 * self.loop.rng.random(), self.commit, raw)
-                else:
-                    self.commit(raw)
-                await asyncio.sleep(3600)
-            return self.commit(raw)
+            return await self.commit_with_faults(raw)
         if path == "/store":
             return self.scan(query)
         if path.startswith("/store/"):
-            key = unquote(path.removeprefix("/store/"))
-            if key not in self.data:
-                return codec.cbor_response(404, {"epoch": self.revision})
-            value, version, _ = self.data[key]
-            return codec.cbor_response(200, {"k": key, "data": value, "stamp": version})
+            return self.get(unquote(path.removeprefix("/store/")))
         if path == "/leases":
             self.next_lease += 1
             ttl = raw["ttl_ms"] / 1000
@@ -185,34 +213,43 @@
             return codec.cbor_response(200, {"tenancy": self.next_lease})
         lease = int(path.split("/")[2])
         if request.method == "DELETE":
-            self.end(lease)
+            self.end_lease(lease)
             return codec.cbor_response(200, {})
         if lease not in self.leases:
             return codec.cbor_response(404, {})
-        ttl = self.leases[lease][0]
-        self.leases[lease] = (ttl, self.loop.now + ttl)
+        self.renew_lease(lease)
         return codec.cbor_response(200, {})
 
+    def get(self, key: str) -> Response:
+        """One record."""
+        if key not in self.data:
+            return codec.cbor_response(404, {"epoch": self.revision})
+        value, version, _ = self.data[key]
+        return codec.cbor_response(200, {"k": key, "data": value, "stamp": version})
+
     def scan(self, query: dict[str, str]) -> Response:
+        """A page of the records with a prefix."""
         prefix, after = query["prefix"], query.get("after", "")
         keys = sorted(k for k in self.data if k.startswith(prefix) and k > after)
-        page = keys[: self.page]
+        page = keys[: self.page_size]
         items = [{"k": k, "data": self.data[k][0], "stamp": self.data[k][1]} for k in page]
         more = len(keys) > len(page)
         return codec.cbor_response(200, {"items": items, "more": more, "epoch": self.revision})
 
     async def watch(self, query: dict[str, str]) -> Response:
+        """Waits for watch events after a revision, at most for the time that is asked for."""
         after, ends = int(query["after"]), self.loop.now + int(query["hold_ms"]) / 1000
         while True:
-            news = [
-                {"drop": k, "stamp": r} if gone else {"write": k, "data": v, "stamp": r}
-                for r, k, v, gone in self.changes[bisect(self.changes, after, key=lambda c: c[0]) :]
+            first = bisect_right(self.changes, after, key=lambda change: change[0])
+            events = [
+                {"drop": k, "stamp": r} if deleted else {"write": k, "data": v, "stamp": r}
+                for r, k, v, deleted in self.changes[first:]
                 if k.startswith(query["prefix"])
             ]
             left = ends - self.loop.now
-            caller = self.refused_until.get(CALLER.get(), -1.0)
-            if (news or left <= 0) and not self.down and self.loop.now >= caller:
-                return codec.cbor_response(200, {"epoch": self.revision, "news": news})
+            refused_until = self.refused_until.get(CALLER.get(), -1.0)
+            if (events or left <= 0) and not self.down and self.loop.now >= refused_until:
+                return codec.cbor_response(200, {"epoch": self.revision, "news": events})
             waiter = self.changed.wait()
             try:
                 await asyncio.wait_for(waiter, min(1.0, max(0.1, left)))
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -88,12 +88,15 @@
     """For less than the lease and for more, in both directions or one."""
 
     async def day(cells: Cells) -> None:
-        def vanish() -> None:
-            cells.vanish(
-                BORROWER, seconds, hears=way == "from the borrower", heard=way == "to the borrower"
+        def isolate() -> None:
+            cells.isolate(
+                BORROWER,
+                seconds,
+                receives=way == "from the borrower",
+                sends=way == "to the borrower",
             )
 
-        await handoff_with(cells, step, vanish)
+        await handoff_with(cells, step, isolate)
 
     play(720, day)
 
@@ -175,12 +178,12 @@
     async def day(cells: Cells) -> None:
         await full_beside_free(cells, 2)
         for world in cells.worlds:
-            world.state.late = 0.2
+            world.state.late_share = 0.2
             world.troubled_until = cells.loop.now + 120.0
         users = [cells.submit(HOME, number, run_s=6.0) for number in range(1, 5)]
         await asyncio.sleep(40.0)
         for world in cells.worlds:
-            world.state.late = 0.0
+            world.state.late_share = 0.0
         await asyncio.wait_for(asyncio.gather(*users), 300.0)
         assert cells.judge.handoffs
 
@@ -214,7 +217,7 @@
         def cancel() -> None:
             world.users.cancel_requested[job_id] = True
             if cut_s:
-                cells.vanish(BORROWER, cut_s)
+                cells.isolate(BORROWER, cut_s)
 
         reached = cells.at(1, step, cancel)
         user = cells.submit(HOME, 1, run_s=60.0)
@@ -237,12 +240,12 @@
 
     async def day(cells: Cells) -> None:
         await full_beside_free(cells)
-        reached = cells.at(1, "running", lambda: cells.vanish(BORROWER, 150.0))
+        reached = cells.at(1, "running", lambda: cells.isolate(BORROWER, 150.0))
         user = cells.submit(HOME, 1, run_s=80.0)
         await asyncio.wait_for(reached.wait(), 40.0)
         began = cells.loop.now
         for worker in cells.worlds[BORROWER].workers.values():
-            cells.lose(worker, trouble, LEASE_S)
+            cells.disturb_worker(worker, trouble, LEASE_S)
         await cells.until(lambda: cells.phase(1) is None, 60.0)
         took = cells.loop.now - began
         assert LEASE_S + lapse_s - 1.1 < took < LEASE_S + lapse_s + 3.0
@@ -258,7 +261,7 @@
 
     async def day(cells: Cells) -> None:
         await full_beside_free(cells)
-        first = cells.at(1, "reserved", lambda: cells.vanish(BORROWER, 4.0))
+        first = cells.at(1, "reserved", lambda: cells.isolate(BORROWER, 4.0))
         users = [cells.submit(HOME, 1, run_s=30.0)]
         await asyncio.wait_for(first.wait(), 40.0)
         await cells.until(lambda: cells.runs_in(2, cells.job_id(1)))
@@ -308,7 +311,7 @@
         users = [cells.submit(HOME, n, run_s=12.0, vcpus=6.0) for n in (1, 2, 3)]
         await cells.until(lambda: cells.judge.handoffs >= 2)
         reached = cells.loop.now
-        cells.vanish(BORROWER, 10.0)
+        cells.isolate(BORROWER, 10.0)
         await asyncio.sleep(1.0)
         cells.crash_leader(HOME, 0.2)
         await asyncio.wait_for(asyncio.gather(*users), 240.0)
@@ -457,7 +460,7 @@
 async def cut_and_taken_back(cells: Cells) -> None:
     """The borrower vanishes for longer than home waits, with a machine that hears its cell."""
     await full_beside_free(cells)
-    reached = cells.at(1, "running", lambda: cells.vanish(BORROWER, 130.0))
+    reached = cells.at(1, "running", lambda: cells.isolate(BORROWER, 130.0))
     user = cells.submit(HOME, 1, run_s=140.0)
     await asyncio.wait_for(reached.wait(), 40.0)
     await asyncio.wait_for(user, 300.0)
@@ -475,7 +478,7 @@
 
     async def day(cells: Cells) -> None:
         await full_beside_free(cells)
-        first = cells.at(1, "reserved", lambda: cells.vanish(BORROWER, 14.0))
+        first = cells.at(1, "reserved", lambda: cells.isolate(BORROWER, 14.0))
         user = cells.submit(HOME, 1, run_s=30.0)
         await asyncio.wait_for(first.wait(), 40.0)
         await asyncio.wait_for(user, 300.0)
@@ -532,9 +535,9 @@
     if kind == "crash":
         cells.crash_leader(cell, rng.choice([0.2, 4.0]))
     elif kind == "vanish":
-        cells.vanish(cell, rng.choice([4.0, 20.0, 50.0]))
+        cells.isolate(cell, rng.choice([4.0, 20.0, 50.0]))
     elif kind == "one way":
-        cells.vanish(cell, rng.choice([4.0, 30.0]), hears=True)
+        cells.isolate(cell, rng.choice([4.0, 30.0]), receives=True)
     elif kind == "outage":
         world.state.outage(rng.choice([2.0, 20.0]))
     elif kind == "freeze" and world.leader() is not None:
@@ -542,5 +545,5 @@
     elif kind == "machine" and world.workers:
         rng.choice(list(world.workers.values())).die()
     elif kind in ("lossy", "late"):
-        setattr(world.state, kind, 0.2)
-        cells.loop.call_later(5.0, setattr, world.state, kind, 0.0)
+        setattr(world.state, f"{kind}_share", 0.2)
+        cells.loop.call_later(5.0, setattr, world.state, f"{kind}_share", 0.0)
--- a/tests/sim/test_combined_failures.py
+++ b/tests/sim/test_combined_failures.py
@@ -60,10 +60,10 @@
     def writes(self, seconds: float, late: float = 0.0, lost: float = 0.0) -> None:
         self.trouble(seconds)
         state = self.world.state
-        state.late, state.lost = late, lost
+        state.late_share, state.lost_share = late, lost
 
         def over() -> None:
-            state.late = state.lost = 0.0
+            state.late_share = state.lost_share = 0.0
 
         self.loop.call_later(seconds, over)
 
@@ -342,12 +342,12 @@
 async def the_end_of_the_last_task(injector: FaultInjector) -> None:
     injector.world.users.asks_all_controllers = True
     injector.world.users.cancel_at_end_share = 1.0
-    injector.world.state.slow = 0.5
+    injector.world.state.slow_share = 0.5
     await injector.wait(20.0)
     # Then each controller answers for itself, as the store has it.
     injector.cut_peers(25.0)
     await injector.wait(25.0)
-    injector.world.state.slow = 0.0
+    injector.world.state.slow_share = 0.0
 
 
 async def hung_and_cancelled_at_the_limit(injector: FaultInjector) -> None:
@@ -363,7 +363,7 @@
 
 async def slow_store_and_too_much_work(injector: FaultInjector) -> None:
     world = injector.world
-    world.state.slow = 0.4
+    world.state.slow_share = 0.4
     injector.trouble(40.0)
     for number in range(900, 960):
         job = draw_job(world.rng, number) | {"parcels": 1, "shape": "sweep", "scatter": False}
@@ -376,7 +376,7 @@
     injector.cancel_now(6)
     injector.refuse_leader(6.0)
     await injector.wait(10.0)
-    world.state.slow = 0.0
+    world.state.slow_share = 0.0
 
 
 async def drawn_at_random(injector: FaultInjector) -> None:
@@ -398,7 +398,7 @@
         world.cloud.down_until = injector.loop.now + rng.uniform(5.0, 25.0)
 
     def copies() -> None:
-        world.copies.share = world.state.copies = rng.choice([0.0, 0.3])
+        world.copies.share = world.state.copies_share = rng.choice([0.0, 0.3])
 
     troubles: list[Callable[[], object]] = [
         lambda: injector.refuse_leader(rng.uniform(0.5, 14.0)),
@@ -422,7 +422,7 @@
                 injector.cancel_now(rng.choice([1, 3]), hang_s=rng.choice([0.0, 0.0, 7.0]))
         world.users.asks_all_controllers = rng.random() < 0.5
         await injector.wait(4.0, 25.0)
-    world.copies.share = world.state.copies = 0.0
+    world.copies.share = world.state.copies_share = 0.0
 
 
 def daemon(rng: random.Random, number: int) -> dict[str, Any]:
--- a/tests/sim/test_days.py
+++ b/tests/sim/test_days.py
@@ -89,8 +89,8 @@
         elif kind == "outage":
             world.state.outage(rng.choice([2.0, 8.0]))
         elif kind == "lossy":
-            world.state.lossy = 0.2
-            loop.call_later(5.0, setattr, world.state, "lossy", 0.0)
+            world.state.lossy_share = 0.2
+            loop.call_later(5.0, setattr, world.state, "lossy_share", 0.0)
         elif kind == "cloud":
             world.cloud.down_until = loop.now + 8
         elif kind == "die" and world.workers:
@@ -120,7 +120,7 @@
             ips = [w.host.ip for w in world.workers.values()]
             mute(world, [(f"10.0.0.{leader + 1}", ip) for ip in ips], rng.uniform(15, 30))
         elif kind == "copies":
-            world.copies.share = world.state.copies = 0.3
+            world.copies.share = world.state.copies_share = 0.3
         elif kind == "isolate" and leader is not None:  # the leader, from all but its workers
             ip = f"10.0.0.{leader + 1}"
             others = ["10.2.0.1", *(f"10.0.0.{i}" for i in (1, 2, 3))]
@@ -146,8 +146,8 @@
 
 def mute(world: World, ways: list[tuple[str, str]], seconds: float) -> None:
     """A cut in one direction only."""
-    world.loop.held |= set(ways)
-    world.loop.call_later(seconds, world.loop.held.difference_update, ways)
+    world.loop.blocked |= set(ways)
+    world.loop.call_later(seconds, world.loop.blocked.difference_update, ways)
 
 
 async def day(world: World, kinds: list[str]) -> None:
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -252,10 +252,10 @@
 
     async def day(world: World, history: DutyHistory) -> None:
         await settled(world)
-        world.state.lost, world.state.late = (0.3, 0.0) if carried_out else (0.0, 0.3)
+        world.state.lost_share, world.state.late_share = (0.3, 0.0) if carried_out else (0.0, 0.3)
         done = [submit(world, number) for number in range(1, 5)]
         await asyncio.sleep(40.0)
-        world.state.lost = world.state.late = 0.0
+        world.state.lost_share = world.state.late_share = 0.0
         await asyncio.gather(*done)
 
     play(560, day)
@@ -342,12 +342,12 @@
 
     async def day(world: World, history: DutyHistory) -> None:
         world.settings[:] = [parse(controller_text_with_next_limits(i)) for i in range(3)]
-        world.state.slow = 0.2
+        world.state.slow_share = 0.2
         await settled(world)
         done = [submit(world, number) for number in range(1, 9)]
         await asyncio.sleep(at_s - world.loop.now)
         world.state.value_kb, world.state.txn_ops = 2.0, 4
-        world.state.limits = (200.0, 30.0)
+        world.state.rate_limits = (200.0, 30.0)
         await asyncio.gather(*done)
         await asyncio.sleep(20.0)
         assert world.state.refused == 0
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -29,15 +29,15 @@
         player = FleetPlayer(loop, constants.LIST_PAGE + 100)
 
         async def day() -> None:
-            await player.rent(60.0)
-            await player.take_over(30.0)
-            await player.lose(60.0)
+            await player.provision(60.0)
+            await player.fail_over(30.0)
+            await player.lose_machines(60.0)
 
         loop.run_until_complete(day())
         figures = player.finish()
         assert figures.broken == []
-        assert figures.rented_s < 40.0
-        assert figures.takeover_s < 15.0
+        assert figures.provisioned_s < 40.0
+        assert figures.failover_s < 15.0
         assert figures.replaced_s < 40.0
         assert (figures.deleted_alive, figures.cloud_refused) == (0, 0)
 
--- a/tests/sim/test_limits_fall.py
+++ b/tests/sim/test_limits_fall.py
@@ -98,7 +98,7 @@
     if fall in (Fall.TRANSACTION, Fall.ALL):
         state.txn_ops = 4
     if fall in (Fall.RATE, Fall.ALL):
-        state.limits = (200.0, write_rps)
+        state.rate_limits = (200.0, write_rps)
 
 
 def play(
@@ -116,8 +116,8 @@
         texts = [controller_text_with_next_limits(i, write_rps=write_rps) for i in range(3)]
         known = [parse(text) for text in texts]
         world = World(loop, SEED, known if told else plain)
-        world.state.limits = (200.0, 60.0)
-        world.state.slow = 0.3  # so that much is written together
+        world.state.rate_limits = (200.0, 60.0)
+        world.state.slow_share = 0.3  # so that much is written together
         lasting: set[str] = set()
         fell: list[float] = []
 
@@ -210,7 +210,7 @@
             controller_text(i).replace("write_rps = 60.0", "write_rps = 3.0") for i in range(3)
         ]
         world = World(loop, SEED, [parse(text) for text in texts])
-        world.state.slow = 0.3  # so that much is written together
+        world.state.slow_share = 0.3  # so that much is written together
         largest: list[int] = []
 
         def on_commit(raw: dict[str, Any]) -> bool:
--- a/tests/sim/test_upgrade.py
+++ b/tests/sim/test_upgrade.py
@@ -30,7 +30,7 @@
     """All controllers are of the version in production, or of that of a commit."""
     texts = [controller_text_with_next_limits(i, size) for i in range(size)]
     world = World(loop, seed, [parse(text) for text in texts])
-    world.state.limits = (200.0, 60.0)
+    world.state.rate_limits = (200.0, 60.0)
     before = commit or production.recorded()
     for i in range(size):
         world.controller_hosts.other_versions[i] = lambda wall, rng, i=i: production.node(
@@ -49,7 +49,7 @@
 
 
 def lower_limits(world: World) -> None:
-    world.state.value_kb, world.state.txn_ops, world.state.limits = 2.0, 4, (200.0, 30.0)
+    world.state.value_kb, world.state.txn_ops, world.state.rate_limits = 2.0, 4, (200.0, 30.0)
 
 
 def submit_services(world: World, first: int) -> list[asyncio.Task[None]]:
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -16,7 +16,7 @@
 from tests.sim.message_copies import MessageCopies
 from tests.sim.net import Host, VirtualLoop
 from tests.sim.site_network import SiteNetwork, Timing
-from tests.sim.state import State
+from tests.sim.state import StateService
 from tests.sim.task_registry import TaskRegistry
 from tests.sim.task_rules import TaskRules
 from tests.sim.user_judge import UserJudge
@@ -45,9 +45,9 @@
         self.record = DayRecord(loop)
         self.registry = TaskRegistry() if registry is None else registry
 
-        self.state = State(loop, self.network.service_ip(1))
+        self.state = StateService(loop, self.network.service_ip(1))
         store = settings[0].params.state
-        self.state.limits = (store.rps, store.write_rps)
+        self.state.rate_limits = (store.rps, store.write_rps)
         self.state.on_invalid = lambda what: self.record.breaks("limits", what[:200])
 
         self.task_rules = TaskRules(self.registry, self.record, settings, self.timing.cancel_s)
