--- a/tests/sim/cells_judge.py
+++ b/tests/sim/cells_judge.py
@@ -11,7 +11,7 @@
 
 
 class CellsJudge:
-    """A simple model that is told of every accepted commit of every cell's state service and of
+    """A simple model that follows every accepted commit of every cell's state service and of
     every start of an attempt in any cell, and collects the violations of the rules."""
 
     def __init__(self) -> None:
--- a/tests/sim/cells_world.py
+++ b/tests/sim/cells_world.py
@@ -14,7 +14,7 @@
 from tests.sim.net import Host, VirtualLoop
 from tests.sim.sites import controller_text, controller_text_with_next_limits
 from tests.sim.task_registry import TaskRegistry
-from tests.sim.test_days import draw_job, mute, virtual
+from tests.sim.test_days import cut_one_way, draw_job, virtual
 from tests.sim.worker import Worker
 from tests.sim.world import World
 
@@ -145,9 +145,9 @@
         ]
         ways = [(a, b) for a in own for b in others]
         if not sends:
-            mute(self.worlds[0], ways, seconds)
+            cut_one_way(self.worlds[0], ways, seconds)
         if not receives:
-            mute(self.worlds[0], [(b, a) for a, b in ways], seconds)
+            cut_one_way(self.worlds[0], [(b, a) for a, b in ways], seconds)
 
     def disturb_worker(self, worker: Worker, trouble: str, seconds: float) -> None:
         """From now on the machine can't send ("mute"), can't receive ("deaf") or neither
@@ -159,7 +159,7 @@
             worker.host.frozen_until = self.loop.now + seconds
         else:
             ways = {"mute": outbound, "deaf": inbound, "cut off": inbound + outbound}
-            mute(self.worlds[cell], ways[trouble], 50.0)
+            cut_one_way(self.worlds[cell], ways[trouble], 50.0)
 
     def at(self, number: int, step: str, act: Callable[[], None]) -> asyncio.Event:
         """Calls `act` once, right after the job's handoff has come to this step."""
--- a/tests/sim/task_registry.py
+++ b/tests/sim/task_registry.py
@@ -4,8 +4,6 @@
 
 from typing import TYPE_CHECKING, Any
 
-from peathall.protocol.heartbeats import decode_task_name
-
 if TYPE_CHECKING:
     from tests.sim.worker import Task
 
@@ -47,8 +45,7 @@
         """The attempts on machines that belong to the gang of this one; of others itself."""
         if task.job["shape"] != "ensemble":
             return [task]
-        job_id = decode_task_name(task.name)[0]
-        return [t for t in self.by_job.get(job_id, ()) if t.attempt == task.attempt]
+        return [t for t in self.by_job.get(task.job_id, ()) if t.attempt == task.attempt]
 
     def begin_gang(self, task: Task) -> None:
         """Begins all tasks of the gang if all of them are on machines and wait."""
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -401,8 +401,8 @@
     async def day(cells: Cells) -> None:
         def jump() -> None:
             for world in cells.worlds:
-                for _, node in world.controllers.values():
-                    node.wall = lambda: cells.loop.now + 1e6 + jump_s
+                for _, controller in world.controllers.values():
+                    controller.wall = lambda: cells.loop.now + 1e6 + jump_s
 
         await handoff_with(cells, step, jump)
 
--- a/tests/sim/test_combined_failures.py
+++ b/tests/sim/test_combined_failures.py
@@ -14,7 +14,7 @@
 from peathall.http.client import HttpClient, NoAnswerError
 from tests.sim.net import Host
 from tests.sim.sites import controller_settings
-from tests.sim.test_days import cut, draw_job, mute, users, virtual
+from tests.sim.test_days import cut, cut_one_way, draw_job, users, virtual
 from tests.sim.worker import Worker
 from tests.sim.world import World
 
@@ -77,14 +77,14 @@
         )
         return chosen
 
-    def deafen(self, share: float, seconds: float) -> None:
+    def cut_inbound(self, share: float, seconds: float) -> None:
         self.trouble(seconds)
         ways = [
             (self.ip(i), w.host.ip)
             for w in self.some_workers(share)
             for i in range(self.world.size)
         ]
-        mute(self.world, ways, seconds)
+        cut_one_way(self.world, ways, seconds)
 
     def cut_peers(self, seconds: float) -> None:
         """Who can't ask the leader reads the store itself."""
@@ -229,13 +229,13 @@
 
 
 async def machines_out_of_reach_as_the_leader_ends(injector: FaultInjector) -> None:
-    for kind in ("cut", "deaf", "mute", "hang"):
+    for kind in ("cut", "cut_inbound", "mute", "hang"):
         lease = injector.world.lease_s
         seconds = injector.rng.choice([lease - 4, lease + 4])
         if kind == "cut":
             injector.cut_workers(0.5, seconds)
-        elif kind == "deaf":
-            injector.deafen(0.5, seconds)
+        elif kind == "cut_inbound":
+            injector.cut_inbound(0.5, seconds)
         elif kind == "hang":
             injector.hang(injector.some_workers(0.5), seconds)
         else:
@@ -407,7 +407,7 @@
         lambda: [injector.crash(i, rng.uniform(0.1, 4.0)) for i in range(3)],
         lambda: injector.writes(rng.uniform(3.0, 20.0), late=0.3, lost=0.3),
         lambda: injector.cut_workers(0.4, rng.uniform(4.0, lease + 6)),
-        lambda: injector.deafen(0.3, rng.uniform(4.0, lease + 6)),
+        lambda: injector.cut_inbound(0.3, rng.uniform(4.0, lease + 6)),
         lambda: injector.hang(injector.some_workers(0.3), rng.uniform(2.0, lease + 6)),
         lambda: rng.choice(list(world.workers.values())).die() if world.workers else None,
         mute_some, freeze, cloud, copies,
--- a/tests/sim/test_days.py
+++ b/tests/sim/test_days.py
@@ -98,12 +98,12 @@
         elif kind == "notice":
             for worker in [w for w in world.workers.values() if w.spot and w.state == "running"]:
                 world.cloud.spot_notice(worker, rng.choice([3.0, 6.0]))
-        elif kind == "sick" and world.workers:
+        elif kind == "unhealthy" and world.workers:
             rng.choice(list(world.workers.values())).unhealthy = True
         elif kind == "cut_worker" and world.workers:
             victim = rng.choice(list(world.workers.values()))
             cut(world, [(victim.host.ip, f"10.0.0.{i}") for i in (1, 2, 3)], rng.uniform(3, 25))
-        elif kind == "cut_node" and leader is not None:
+        elif kind == "cut_controller" and leader is not None:
             ip = f"10.0.0.{leader + 1}"
             others = ["10.2.0.1", "10.2.0.2", *(f"10.0.0.{i}" for i in (1, 2, 3))]
             others += [w.host.ip for w in world.workers.values()]
@@ -113,12 +113,15 @@
         elif kind == "cut_workers" and leader is not None:
             ips = [w.host.ip for w in world.workers.values()]
             cut(world, [(f"10.0.0.{leader + 1}", ip) for ip in ips], rng.uniform(8, 25))
-        elif kind == "deaf" and world.workers:  # reports arrive, answers and commands don't
+        elif kind == "cut_inbound" and world.workers:
+            # Its heartbeats arrive, responses and commands do not.
             victim = rng.choice(list(world.workers.values()))
-            mute(world, [(f"10.0.0.{i}", victim.host.ip) for i in (1, 2, 3)], rng.uniform(10, 40))
-        elif kind == "deaf_leader" and leader is not None:
+            cut_one_way(
+                world, [(f"10.0.0.{i}", victim.host.ip) for i in (1, 2, 3)], rng.uniform(10, 40)
+            )
+        elif kind == "cut_from_leader" and leader is not None:
             ips = [w.host.ip for w in world.workers.values()]
-            mute(world, [(f"10.0.0.{leader + 1}", ip) for ip in ips], rng.uniform(15, 30))
+            cut_one_way(world, [(f"10.0.0.{leader + 1}", ip) for ip in ips], rng.uniform(15, 30))
         elif kind == "copies":
             world.copies.share = world.state.copies_share = 0.3
         elif kind == "isolate" and leader is not None:  # the leader, from all but its workers
@@ -141,10 +144,10 @@
 
 
 def cut(world: World, pairs: list[tuple[str, str]], seconds: float) -> None:
-    mute(world, pairs + [(b, a) for a, b in pairs], seconds)
+    cut_one_way(world, pairs + [(b, a) for a, b in pairs], seconds)
 
 
-def mute(world: World, ways: list[tuple[str, str]], seconds: float) -> None:
+def cut_one_way(world: World, ways: list[tuple[str, str]], seconds: float) -> None:
     """A cut in one direction only."""
     world.loop.blocked |= set(ways)
     world.loop.call_later(seconds, world.loop.blocked.difference_update, ways)
@@ -172,11 +175,11 @@
 
 CRASHES = ["crash_leader", "crash_all"]
 STORE = ["outage", "lossy", "crash_leader"]
-CUTS = ["cut_worker", "cut_node", "cut_state", "cut_workers", "cut_peers"]
-MACHINES = ["die", "sick", "cloud", "cut_worker"]
+CUTS = ["cut_worker", "cut_controller", "cut_state", "cut_workers", "cut_peers"]
+MACHINES = ["die", "unhealthy", "cloud", "cut_worker"]
 SPOT = ["notice", "crash_leader", "notice", "cut_worker"]
-ONE_WAY = ["deaf", "deaf_leader", "cut_worker"]
-COPIES = ["copies", "crash_leader", "cut_worker", "deaf", "die"]
+ONE_WAY = ["cut_inbound", "cut_from_leader", "cut_worker"]
+COPIES = ["copies", "crash_leader", "cut_worker", "cut_inbound", "die"]
 FLAPS = ["flap", "isolate", "copies"]
 FREEZES = ["freeze_leader", "freeze", "crash_leader"]
 
@@ -197,15 +200,19 @@
         (12, ONE_WAY),
         (13, COPIES),
         (14, FLAPS),
-        (15, ["isolate", "deaf_leader", "outage"]),
+        (15, ["isolate", "cut_from_leader", "outage"]),
         (16, CRASHES + STORE + CUTS + MACHINES + ONE_WAY + COPIES + FLAPS),
         (17, FREEZES),
         (18, [*FREEZES, "copies", "outage", "cut_worker"]),
         # Days on which something was found broken, with what had failed:
-        (123, ["cut_node", "cut_state", "lossy"]),  # queued told while `done` was on its way
-        (124, ["cut_node", "cut_state", "lossy"]),  # a doubtful commit taken for a carried-out one
-        (147, ["cut_node", "cut_state", "lossy"]),  # a spread gang's machines rented in one zone
-        (183, CRASHES + STORE + CUTS + MACHINES),  # one job alone never gave a sick machine away
+        # `queued` in a response while `done` was on its way
+        (123, ["cut_controller", "cut_state", "lossy"]),
+        # a commit of unknown outcome taken for a carried-out one
+        (124, ["cut_controller", "cut_state", "lossy"]),
+        # a spread gang's machines provisioned in one zone
+        (147, ["cut_controller", "cut_state", "lossy"]),
+        # one job alone never revealed an unhealthy machine
+        (183, CRASHES + STORE + CUTS + MACHINES),
     ],
 )
 def test_a_day_keeps_the_rules(seed: int, kinds: list[str]) -> None:
@@ -218,7 +225,7 @@
 
 
 def test_the_largest_gang_begins_within_four_minutes_under_steady_smaller_work() -> None:
-    """More small gangs than there is room for, each more urgent than a gang of half the fleet."""
+    """More small gangs than machines for them, each more urgent than a gang of half the fleet."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
 
     def gang(number: int, size: int, class_name: str) -> dict[str, Any]:
@@ -268,12 +275,14 @@
                 world.submit(job, f"10.9.0.{number}")
             await asyncio.sleep(20)
             alive = [w for w in world.workers.values() if w.state == "running"]
-            assert len(alive) > 850  # rented at once, in full batches
+            assert len(alive) > 850  # provisioned at once, in full batches
             world.copies.share = 0.05
-            halls = [f"10.0.0.{i}" for i in (1, 2, 3)]
-            cut_off, deaf = alive[:180], alive[180:210]
-            cut(world, [(w.host.ip, hall) for w in cut_off for hall in halls], 9.0)
-            mute(world, [(hall, w.host.ip) for w in deaf for hall in halls], 60.0)
+            controller_ips = [f"10.0.0.{i}" for i in (1, 2, 3)]
+            cut_off, cut_inbound = alive[:180], alive[180:210]
+            cut(world, [(w.host.ip, ip) for w in cut_off for ip in controller_ips], 9.0)
+            cut_one_way(
+                world, [(ip, w.host.ip) for w in cut_inbound for ip in controller_ips], 60.0
+            )
             leader = world.leader()
             assert leader is not None
             world.crash_controller(leader, 0.1)
@@ -287,7 +296,7 @@
             assert {w.name for w in alive[210:]} <= heard
             await asyncio.sleep(8.0)
             assert {w.name for w in alive[210:]} <= world.workers.keys()
-            assert not {w.name for w in deaf} & {
+            assert not {w.name for w in cut_inbound} & {
                 m.name for m in cluster.machines.values() if m.is_schedulable
             }
             killed = sum(
@@ -334,13 +343,13 @@
 
 @pytest.mark.parametrize("seed", [31, 32])
 def test_failing_jobs_beside_unhealthy_machines(seed: int) -> None:
-    """Arrays and gangs that fail everywhere until they are cancelled, through take-overs: the
+    """Arrays and gangs that fail everywhere until they are cancelled, through failovers: the
     others are served, and no machine is emptied that is well."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(seed) as loop:
         world = World(loop, seed, [controller_settings(i) for i in range(3)])
         world.users.failing_share = 0.25
-        loop.run_until_complete(day(world, ["sick", "crash_leader", "crash_leader"]))
+        loop.run_until_complete(day(world, ["unhealthy", "crash_leader", "crash_leader"]))
         assert world.broken == []
         assert any(job.get("mistaken") for job in world.jobs.values())
 
@@ -393,7 +402,7 @@
 
 
 def test_a_storm_of_polls_during_failover() -> None:
-    """Eight times the questions while the leader stands still, one controller asks the store for
+    """Eight times the questions while the leader is frozen, one controller asks the store for
     them all: the budget must suffice, and every job get its answer."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(51) as loop:
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -269,7 +269,7 @@
         await settled(world)
         index = holder(world, Duty.SCALE_IN)
         assert index is not None
-        host, node = world.controllers[index]
+        host, controller = world.controllers[index]
         lead, version, _ = world.state.data["lead"]
         token = history.token("returning")
 
@@ -281,7 +281,7 @@
                 leader_version,
                 deletion=Deletion("d-1", ["m-9"]),
             )
-            work = node.duties.perform(request)
+            work = controller.duties.perform(request)
             answer: ActionResult = await world.loop.create_task(work, context=world.context(host))
             return answer
 
@@ -360,9 +360,9 @@
         await settled(world)
         index = holder(world, Duty.SCALE_OUT)
         assert index is not None
-        host, node = world.controllers[index]
+        host, controller = world.controllers[index]
         context = world.context(host)
-        await world.loop.create_task(node.release(), context=context)
+        await world.loop.create_task(controller.release(), context=context)
         world.crash_controller(index, 60.0)
         took = await until(world, lambda: holder(world, Duty.SCALE_OUT) not in (None, index))
         assert took < 2.0  # the lease alone would have taken five
@@ -388,8 +388,8 @@
         assert returning.holder is not None
         # Any other controller says the same.
         for index in range(3):
-            host, node = world.controllers[index]
-            work = node.duties.status()
+            host, controller = world.controllers[index]
+            work = controller.duties.status()
             other = await world.loop.create_task(work, context=world.context(host))
             assert (other.leader, other.duties) == (status.leader, status.duties)
         # An operator lets one controller hold it.
@@ -471,10 +471,10 @@
         world.cloud.capacity = 5000
         leader = world.leader()
         assert leader is not None
-        host, node = world.controllers[leader]
+        host, controller = world.controllers[leader]
         kind = {"label": "small", "vcpus": 4, "cards": 0, "ram_gb": 32, "startup_s": 1e6}
         names = [world.cloud.provision(kind, "a", False).name for _ in range(4000)]
-        actions = node.leader.autoscaler.actions
+        actions = controller.leader.autoscaler.actions
 
         async def delete_all() -> None:
             for first in range(0, 4000, 100):
--- a/tests/sim/test_services.py
+++ b/tests/sim/test_services.py
@@ -41,7 +41,7 @@
 
 
 async def steady(world: World) -> None:
-    """Some machines with room, and four standing services."""
+    """Some machines with free capacity, and four standing services."""
     await world.begin()
     rng = random.Random(7)
     filler = draw_job(rng, 1) | {
@@ -56,14 +56,16 @@
     await asyncio.sleep(30.0)
 
 
-def recalled(world: World, worker: Worker) -> None:
+def spot_notice(world: World, worker: Worker) -> None:
     world.cloud.spot_notice(worker, 6.0)
 
 
-def sick(world: World, worker: Worker) -> None:
+def unhealthy(world: World, worker: Worker) -> None:
     """It fails whatever starts there: the leader empties it."""
-    node = world.controllers[world.leader() or 0][1]
-    node.leader.workers.quarantine(node.leader.cluster.machines[worker.name], "it is sick")
+    controller = world.controllers[world.leader() or 0][1]
+    controller.leader.workers.quarantine(
+        controller.leader.cluster.machines[worker.name], "it is sick"
+    )
 
 
 def dead(world: World, worker: Worker) -> None:
@@ -75,8 +77,8 @@
 @pytest.mark.parametrize(
     ("trouble", "longest_s"),
     [
-        (recalled, 1.5),  # stop, proof of absence, start, and half a second for the image
-        (sick, 1.5),
+        (spot_notice, 1.5),  # stop, proof of absence, start, and half a second for the image
+        (unhealthy, 1.5),
         (dead, 7.0),  # a missed report, two probes, the deletion: its silence alone takes 8 s
     ],
 )
--- a/tests/sim/worker.py
+++ b/tests/sim/worker.py
@@ -38,7 +38,7 @@
 
 
 class TaskObserver(Protocol):
-    """Is told of the attempts on machines."""
+    """Follows the attempts that come to machines and leave them."""
 
     def added(self, task: Task) -> None:
         """An attempt has come to its machine."""
