--- a/peathall/cells/__init__.py
+++ b/peathall/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `cells`: jobs that move whole to another cell when their own has no room in time."""
+"""Slice `cells`: jobs that move whole to another cell when their own has no capacity in time."""
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -27,6 +27,7 @@
     Ruling,
     Verdict,
 )
+from peathall.cells.quota_check import quota_conflict
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
@@ -169,19 +170,11 @@
         if not self.cluster.types:
             return "its machine types are not known here yet"
         reason = rejection_reason(spec, self.cluster.types, self.params)
-        return reason or self._quota_conflict(spec)
-
-    def _quota_conflict(self, spec: JobSpec) -> str | None:
-        """A team's guaranteed quota here stays free of jobs that other cells hand over."""
+        if reason is not None:
+            return reason
         team = next(team for team in self.params.teams if team.name == spec.team)
         taken = [*(borrowed.spec for borrowed in self.borrowed.values()), *self.reserving.values()]
-        others = [other for other in taken if other.team == spec.team]
-        for resource, limit, guaranteed in (("cpus", team.cpus_max, team.cpus),
-                                 ("gpus", team.gpus_max, team.gpus)):  # fmt: skip
-            used = sum(getattr(other, resource) * other.tasks for other in [*others, spec])
-            if limit and used > limit - guaranteed:
-                return "it would use what its team is guaranteed here"
-        return None
+        return quota_conflict(spec, taken, team)
 
     async def _reserve(self, offer: HandoffOffer, spec: JobSpec) -> str | None:
         if not await self.capacity.reserve(spec, self.clock() + constants.CELL_RESERVATION_S):
--- a/peathall/cells/cell_leader.py
+++ b/peathall/cells/cell_leader.py
@@ -45,6 +45,16 @@
     borrowed: list[KeyValue]
 
 
+@dataclass(frozen=True, slots=True)
+class CellEnvironment:
+    """What the controller and the leader's term give to the cells."""
+
+    wall: Callable[[], float]  # time of day
+    is_leader: Callable[[], bool]  # whether the leader may act now
+    may_send: Callable[[], bool]  # whether the leader lease is valid, also during recovery
+    rng: random.Random
+
+
 class CellLeader:
     """Both sides of handoffs, heartbeats, offers, and what users of borrowed jobs get."""
 
@@ -57,12 +67,10 @@
         jobs: Jobs,
         capacity: MachineCapacity,
         tasks: TaskStopper,
-        wall: Callable[[], float],
-        is_leader: Callable[[], bool],
-        may_send: Callable[[], bool],
-        rng: random.Random,
+        environment: CellEnvironment,
     ) -> None:
         clock = self.clock = asyncio.get_running_loop().time
+        is_leader, rng = environment.is_leader, environment.rng
         self.settings = settings
         self.cluster = cluster
         self.writer = writer
@@ -70,7 +78,7 @@
         self.is_leader = is_leader
         # Leases are requested before this leader serves: a valid leader lease suffices for that.
         self.cells = {
-            neighbour.name: CellClient(neighbour, may_send, clock)
+            neighbour.name: CellClient(neighbour, environment.may_send, clock)
             for neighbour in settings.neighbour
         }
         workers = params.workers
@@ -87,7 +95,9 @@
         self.requests = CellRequestHandler(
             settings, self.cells, self.home, self.borrower, self.sender, jobs, is_leader, clock
         )
-        self.spiller = Spiller(cluster, params, self.cells, self.home, capacity, clock, wall, rng)
+        self.spiller = Spiller(
+            cluster, params, self.cells, self.home, capacity, clock, environment.wall, rng
+        )
 
     def _wake(self, cell: str) -> None:
         self.sender.wake(cell)
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -1,8 +1,8 @@
 """Which waiting jobs are offered to which cell: a greedy rule with hysteresis. Pure.
 
-An urgent job is offered once it has waited for a moment, would miss its next aim at home or has
-missed all, and should start sooner elsewhere by more than a handoff is worth. What home expects is
-an estimate; once the time that it named is over, it no longer speaks against an offer.
+An urgent job is offered once it has waited for a moment, would miss its next objective at home or
+has missed all, and should start sooner elsewhere by more than a handoff costs. The wait expected
+at home is an estimate; once that time is over, it no longer speaks against an offer.
 """
 
 from __future__ import annotations
@@ -49,12 +49,12 @@
     name: str
 
     def rows(self, now: float) -> Sequence[CapacityRow]:
-        """Its free room as it told it lately; none if that is too long ago."""
+        """Its latest summary of free capacity; empty if that is too old."""
 
 
 @dataclass(slots=True)
 class WaitingJob:
-    """A job without room at home."""
+    """A job that is not placed at home."""
 
     since: float  # steady time
     expected_at: float  # steady time at which it should start at home, as first estimated
@@ -65,7 +65,7 @@
 
 
 def is_urgent(spec: JobSpec, objectives: Iterable[Objective]) -> bool:
-    """Whether its class has an aim for the wait, and its priority is above the ordinary."""
+    """Whether its class has an objective for the wait, and its priority is above STANDARD."""
     return spec.priority < Priority.STANDARD and any(
         objective.kind == "wait" and objective.class_name == spec.class_name
         for objective in objectives
@@ -75,8 +75,8 @@
 def expected_wait_s(
     spec: JobSpec, machines: Iterable[MachineView], starting: Iterable[tuple[float, MachineView]]
 ) -> float:
-    """Seconds until all of the job should find room at home at once, by what ends there and what
-    is on its way; more than any wait if that can't be told."""
+    """Seconds until all of the job should fit at home at once, by the machines that become
+    free and those that are starting; CELL_UNKNOWN_WAIT_S if that can't be estimated."""
     coming: list[tuple[float, str, int]] = []
     for machine in machines:
         if allowed(machine, spec):
@@ -95,7 +95,7 @@
 
 
 class SpillRule:
-    """Remembers for how long jobs have waited, and whom it is of no use to ask."""
+    """Remembers for how long jobs have waited, and which cells refused lately."""
 
     def __init__(self, objectives: Sequence[Objective], rng: random.Random) -> None:
         self.objectives = objectives
@@ -129,7 +129,7 @@
         now: float,
         wall: float,
     ) -> tuple[JobView, CellCapacity] | None:
-        """The first job that is to be offered, and to whom."""
+        """The first job that is to be offered, and the cell; None if there is none."""
         for view in views:
             cell, reason = self._target(view, cells, expected, now, wall)
             self.waiting[view.spec.id].reason = reason
@@ -159,7 +159,7 @@
             at_home_s = constants.CELL_UNKNOWN_WAIT_S  # the estimate was wrong
         if at_home_s < elsewhere_s + constants.CELL_GAIN_S:
             return None, "it should start about as soon at home"
-        # A job that can meet no aim any more has a latest start far away: it is late already.
+        # A job that can meet no objective any more has a latest start far away: it is late already.
         if (
             not view.is_starving
             and at_home_s < view.latest_start - wall < constants.CELL_UNKNOWN_WAIT_S
@@ -183,7 +183,7 @@
         )
 
     def note_no_capacity(self, spec: JobSpec, now: float) -> None:
-        """Nobody has told of room lately: there is nothing to weigh."""
+        """No cell has sent a summary of free capacity lately: there is nothing to choose from."""
         waiting_job = self.waiting.setdefault(spec.id, WaitingJob(now, now))
         waiting_job.reason = "no cell has told of room lately"
 
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -132,7 +132,7 @@
         if settings is None:
             return None
         # Imported here only: a controller without cells must not spend the memory.
-        from peathall.cells.cell_leader import CellLeader
+        from peathall.cells.cell_leader import CellEnvironment, CellLeader
 
         return CellLeader(
             settings=settings,
@@ -142,8 +142,10 @@
             jobs=self.jobs,
             capacity=self.placement,
             tasks=self.events,
-            wall=self._context.wall,
-            is_leader=self._state.is_active,
-            may_send=self._state.lease_is_valid,
-            rng=self._context.rng,
+            environment=CellEnvironment(
+                wall=self._context.wall,
+                is_leader=self._state.is_active,
+                may_send=self._state.lease_is_valid,
+                rng=self._context.rng,
+            ),
         )
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -22,7 +22,7 @@
 from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.cells import model as cells
-from peathall.cells.cell_leader import CellLeader
+from peathall.cells.cell_leader import CellEnvironment, CellLeader
 from peathall.cells.client import CellClient
 from peathall.cells.settings import Neighbour
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
@@ -218,8 +218,8 @@
     operator = cells_operator()
     params = parse(SETTINGS).params
     leader: Any = CellLeader(
-        operator.cells, stub, params, stub, stub, stub, stub, lambda: 0.0,
-        lambda: True, lambda: True, random.Random(1),
+        operator.cells, stub, params, stub, stub, stub, stub,
+        CellEnvironment(lambda: 0.0, lambda: True, lambda: True, random.Random(1)),
     )  # fmt: skip
     return leader
 
