--- a/peathall/leader/requests.py
+++ b/peathall/leader/requests.py
@@ -5,7 +5,6 @@
 import asyncio
 import logging
 from collections.abc import Awaitable
-from typing import Any
 
 from peathall import constants
 from peathall.jobs.responses import RETRY_LATER, JobResponse
@@ -14,6 +13,7 @@
 from peathall.protocol.heartbeats import Heartbeat
 from peathall.protocol.jobs import JobSpec
 from peathall.store.phase import WriterPhase
+from peathall.workers.heartbeats import REFUSED, HeartbeatResponse
 
 log = logging.getLogger("peathall.leader")
 
@@ -34,19 +34,19 @@
         self._loop = asyncio.get_running_loop()
         self._pending: set[asyncio.Task[JobResponse]] = set()
 
-    async def handle_heartbeat(self, heartbeat: Heartbeat) -> tuple[int, dict[str, Any] | None]:
-        """HTTP status and body of the response to a worker.
+    async def handle_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatResponse:
+        """The response to a worker.
 
-        A heartbeat that arrives during recovery waits for its end, up to HEARTBEAT_HOLD_S. Status
-        503 if that is too short, or if the leader may not act.
+        A heartbeat that arrives during recovery waits for its end, up to HEARTBEAT_HOLD_S. REFUSED
+        if that is too short, or if the leader may not act.
         """
         if self._state.phase is LeaderPhase.RECOVERING:
             try:
                 await asyncio.wait_for(self._state.serving.wait(), constants.HEARTBEAT_HOLD_S)
             except TimeoutError:
-                return 503, None
+                return REFUSED
         if not self._is_active():
-            return 503, None
+            return REFUSED
         self._cells.borrower.stop_expired(self._loop.time())
         return self._workers.handle_heartbeat(heartbeat, self._loop.time())
 
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -23,6 +23,7 @@
 from peathall.protocol.heartbeats import Heartbeat
 from peathall.protocol.jobs import JobSpec
 from peathall.store.writer import Writer
+from peathall.workers.heartbeats import HeartbeatResponse
 from peathall.workers.workers import Workers
 
 if TYPE_CHECKING:
@@ -59,10 +60,8 @@
         return self._state.is_active()
 
     # --- requests ------------------------------------------------------------
-    def handle_heartbeat(
-        self, heartbeat: Heartbeat
-    ) -> Awaitable[tuple[int, dict[str, Any] | None]]:
-        """HTTP status and body of the response to a worker."""
+    def handle_heartbeat(self, heartbeat: Heartbeat) -> Awaitable[HeartbeatResponse]:
+        """The response to a worker."""
         return self._requests.handle_heartbeat(heartbeat)
 
     def accept(self, spec: JobSpec) -> Awaitable[JobResponse]:
