--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -58,7 +58,7 @@
         for machine in self._cluster.machines.values():
             reason = self._reason(machine, now, live_share, heard_elsewhere)
             if not reason and self._unreachable(machine, now) and not heard_elsewhere(machine):
-                silent_s = self._health.silent_to_us_s(machine, now)
+                silent_s = self._health.silence_s(machine, now)
                 reason = f"no heartbeat for {silent_s:.0f} s, and it answers no liveness probe"
             if reason:
                 if machine.phase is not MachinePhase.DELETING:
@@ -133,8 +133,8 @@
         heard_elsewhere: Callable[[Machine], bool],
     ) -> str:
         """Silent, without acknowledgement, or known from a single heartbeat."""
-        lost_s = self._health.lost_s()
-        silent_s = self._health.silent_to_us_s(machine, now)
+        lost_s = self._health.lost_after_s()
+        silent_s = self._health.silence_s(machine, now)
         is_certain = live_share >= constants.CERTAIN_LIVE_SHARE
         if silent_s > lost_s and (is_certain or not heard_elsewhere(machine)):
             return f"no heartbeat for {silent_s:.0f} s"
@@ -153,7 +153,7 @@
             machine.failed_probes >= constants.PROBE_TRIES
             and machine.replicas > 0
             and machine.phase is MachinePhase.UP
-            and self._health.missed_a_report(machine, now)
+            and self._health.heartbeat_is_overdue(machine, now)
             and self._health.most_are_live(now)
         )
 
@@ -197,7 +197,7 @@
         machine_type = self._cluster.types.get(machine.type)
         if machine_type is None:
             return constants.QUOTA_IDLE_HOLD_S
-        startup_s = machine_type.boot_s
+        startup_s = machine_type.startup_s
         is_quiet = now - self._cluster.last_submission_at > startup_s
         if self._has_guarantees and not (is_quiet and self._no_work()):
             # Teams with guarantees are not to wait: capacity is held ready for them.
--- a/peathall/autoscaling/scale_out_loop.py
+++ b/peathall/autoscaling/scale_out_loop.py
@@ -94,5 +94,5 @@
             return False  # perhaps known from a late heartbeat or a record, and long gone
         if machine.phase is MachinePhase.RECOVERED:
             silent_s = self._health.seconds_since_heartbeat(machine, now)
-            return silent_s < self._health.suspect_s()
+            return silent_s < self._health.unschedulable_after_s()
         return machine.phase is MachinePhase.UP and not machine.confirmed
--- a/peathall/autoscaling/startup_times.py
+++ b/peathall/autoscaling/startup_times.py
@@ -18,7 +18,9 @@
     def nominal_s(self, machine: Machine) -> float:
         """The nominal startup time of the machine's type, in seconds."""
         machine_type = self._cluster.types.get(machine.type)
-        return machine_type.boot_s if machine_type is not None else constants.STARTUP_PATIENCE_MIN_S
+        return (
+            machine_type.startup_s if machine_type is not None else constants.STARTUP_PATIENCE_MIN_S
+        )
 
     def later_one_started(self, machine: Machine) -> bool:
         """Whether a machine of this type that was provisioned no sooner has started up. Then the
--- a/peathall/cells/capacity.py
+++ b/peathall/cells/capacity.py
@@ -24,7 +24,7 @@
         for row, machines in count.items()
     ]
     rows.sort(key=lambda row: (-row.gpus, -row.cpus, -row.machines, row.type, row.zone))
-    return rows[: constants.CELL_ROOM_ROWS]
+    return rows[: constants.CELL_CAPACITY_ROWS]
 
 
 def fits_whole(spec: JobSpec, rows: Sequence[CapacityRow]) -> bool:
--- a/peathall/cells/cell_leader.py
+++ b/peathall/cells/cell_leader.py
@@ -123,7 +123,7 @@
         homes = [name for name in self.borrower.counts() if name in self.cells]
         if homes:
             requests = [asyncio.ensure_future(self.sender.send(self.cells[name])) for name in homes]
-            _, late = await asyncio.wait(requests, timeout=constants.CELL_TAKEOVER_S)
+            _, late = await asyncio.wait(requests, timeout=constants.CELL_LEASE_REQUEST_S)
             for request in late:
                 request.cancel()
         self.borrower.hold_unconfirmed(self.clock())
--- a/peathall/cells/client.py
+++ b/peathall/cells/client.py
@@ -54,7 +54,7 @@
 
     def rows(self, now: float) -> Sequence[CapacityRow]:
         """Its summary of free capacity; empty if the latest one is too old."""
-        return self._rows if now - self._rows_at < constants.CELL_ROOM_FRESH_S else ()
+        return self._rows if now - self._rows_at < constants.CELL_CAPACITY_FRESH_S else ()
 
     def note_capacity(self, rows: Sequence[CapacityRow], now: float) -> None:
         """It has sent a summary of its free capacity."""
--- a/peathall/config/platform.py
+++ b/peathall/config/platform.py
@@ -93,7 +93,7 @@
     next: NextLimits | None = None
 
     @property
-    def changes_at_once(self) -> int:
+    def max_operations(self) -> int:
         """Largest number of puts and deletes in one transaction: the service takes no more of them,
         and never accepts more than its rate limit's burst, which is worth one second."""
         return max(constants.MIN_TRANSACTION_OPS, min(self.txn_ops, int(self.write_rps)))
@@ -119,7 +119,7 @@
     list_lag_s: NotNegative  # the machine list may be so much out of date
 
 
-class Limits(Struct, frozen=True):
+class MachineLimits(Struct, frozen=True):
     """Section `params.machine_limits`: what a controller may use of the machine that it runs on."""
 
     cpu_share: Positive = 1.0  # cores
@@ -138,7 +138,7 @@
     zones: list[str] = []
     clock_off_ms: NotNegative = 0.0  # of clocks; read, but not used here
     objectives: list[Objective] = []
-    machine_limits: Limits = Limits()
+    machine_limits: MachineLimits = MachineLimits()
 
 
 class Settings(Struct, frozen=True):
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -9,10 +9,12 @@
 MAX_BODY = 64 * 1024  # bytes; the protocol's limit for request bodies
 IDLE_CONNECTION_S = 40.0  # users poll every 5 s and workers every 3 s: longer is abandoned
 SLOW_REQUEST_S = 10.0  # a request that takes longer to arrive comes from a slow or broken client
-SWEEP_S = 5.0  # between searches for idle and slow connections (one timer for all of them)
+CONNECTION_SWEEP_S = (
+    5.0  # between searches for idle and slow connections (one timer for all of them)
+)
 CALLER_SOCKET_SHARE = 0.75  # of the socket limit: connections of workers and users
 # Of the callers' connections: above this share workers' connections close after each response.
-CROWDED_SHARE = 0.85
+NEAR_LIMIT_SHARE = 0.85
 PEER_SOCKET_SHARE = 0.1  # of the socket limit: connections of other controllers
 # Of the socket limit: commands sent straight to workers. The rest is for our other requests.
 DIRECT_COMMAND_SOCKET_SHARE = 0.1
@@ -121,7 +123,7 @@
 # --- placement ----------------------------------------------------------------------------------
 ROUND_GAP_S = 0.2  # least distance of two rounds: what arrives together is decided together
 ROUND_LOAD = 6.0  # times the last round's duration is left between rounds: batches widen with load
-SLICE_S = 0.01  # a round yields to the event loop after deciding for so long
+ROUND_SLICE_S = 0.01  # a round yields to the event loop after deciding for so long
 ROUND_COMPACT_S = 60.0  # most rounds are over by then, and deleted without a further write
 ROUND_COMPACT_FACTOR = 4  # a record that names so many times the live attempts is worth a write
 ROUND_IDLE_S = 2.0  # a round also runs this often, since deadlines and health change with time
@@ -134,7 +136,7 @@
 # Replicas of any jobs on one machine before other machines are preferred, so that its end costs
 # few of them. With less, more would have to fetch their image and start late.
 REPLICAS_TOGETHER = 8
-EFFORT_WEIGHT = 3.0  # times the seconds a job would fill the fleet are added to its latest start
+JOB_SIZE_WEIGHT = 3.0  # times the seconds a job would fill the fleet are added to its latest start
 CANARY_DELAY_S = 1e6  # canaries of failing jobs come after all other jobs of their priority
 # A job none of whose tasks has been placed for so long goes before all others: the largest must
 # begin within four minutes, however many smaller ones come.
@@ -185,13 +187,13 @@
 FORWARD_ACCEPT_S = 0.1
 ACCEPT_S = 1.5  # a commit usually takes 10 ms; after this the user is told when to retry
 RETRY_AFTER_S = 1  # sent with 503: the earliest at which users retry
-FALLBACK_S = 0.7  # a read of the store without a leader must leave time for the response
+FOLLOWER_READ_S = 0.7  # a read of the store without a leader must leave time for the response
 STORE_FRESH_S = 8.0  # a follower's watch gets a response at least this often
 PEER_FRESH_S = 4.0  # some peer responds to a ping at least this often
 PING_S = 1.5  # between pings of each peer
 REDIRECTED_S = 6.0  # heartbeats that a follower redirected are told to the leader for so long
-REPORT_ORDER_MEMORY_S = 120.0  # late copies of heartbeats are recognised as old for this long
-YOUNG_S = 6.0  # a controller that has just started reports itself healthy for so long
+HEARTBEAT_ORDER_MEMORY_S = 120.0  # late copies of heartbeats are recognised as old for this long
+JUST_STARTED_S = 6.0  # a controller that has just started reports itself healthy for so long
 
 # --- duties -------------------------------------------------------------------------------------
 DUTY_RENEWALS = 5.0  # attempts to renew that fit into one lease on a duty
@@ -216,7 +218,7 @@
 CELL_OFFER_S = 3.0  # an offer waits for a round and a commit of the borrower
 # A new leader requests its leases for so long before it serves; heartbeats of workers meanwhile
 # are held for HEARTBEAT_HOLD_S.
-CELL_TAKEOVER_S = 1.0
+CELL_LEASE_REQUEST_S = 1.0
 CELL_RETRY_S = 2.0  # before a cell, or a job, that was refused is tried again; doubled each time
 CELL_RETRY_MOST_S = 60.0  # ... at most
 CELL_RESERVATION_S = 8.0  # capacity is reserved for an offer: offer and grant take two commits each
@@ -225,8 +227,8 @@
 CELL_BORROWED_MOST = 64  # borrowed jobs at a time: each takes some 120 bytes of every heartbeat
 CELL_TASKS_MOST = 64  # tasks of a job that is handed off: all of them are placed at once
 CELL_HANDOFFS_MOST = 3  # of one job in a term, so that it does not move back and forth
-CELL_ROOM_ROWS = 64  # of a summary of free capacity, some 40 bytes each
-CELL_ROOM_FRESH_S = 5.0  # an older summary is ignored
+CELL_CAPACITY_ROWS = 64  # of a summary of free capacity, some 40 bytes each
+CELL_CAPACITY_FRESH_S = 5.0  # an older summary is ignored
 CELL_OPERATIONS = 4  # offers in progress at a time
 CELL_PATIENCE_S = 3.0  # a job waits for so long at home, since preemption there takes as long
 CELL_HANDOFF_S = 2.0  # an offer, two commits on either side and a round, as measured
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -198,7 +198,7 @@
             if leader is None or not leader.is_active():
                 continue
             health = leader.workers.health
-            just_elected = now - leader.workers.failover_at < health.unreached_s()
+            just_elected = now - leader.workers.failover_at < health.unreachable_after_s()
             if not just_elected and health.is_partitioned(now):
                 await self.election.resign("heartbeats reach other controllers, but not this one")
 
--- a/peathall/controller/job_requests.py
+++ b/peathall/controller/job_requests.py
@@ -83,7 +83,7 @@
         else:
             return RETRY_LATER  # only a leader can cancel: it keeps the job in memory
         try:
-            return await asyncio.wait_for(response, constants.FALLBACK_S)
+            return await asyncio.wait_for(response, constants.FOLLOWER_READ_S)
         except (StoreError, TimeoutError) as exc:
             log.debug("job request not answered from the state service: %s", exc)
             return RETRY_LATER
--- a/peathall/http/server.py
+++ b/peathall/http/server.py
@@ -182,7 +182,7 @@
     @property
     def near_limit(self) -> bool:
         """Few connections are left: clients that can cheaply reconnect should not keep theirs."""
-        return len(self.connections) > constants.CROWDED_SHARE * self.max_connections
+        return len(self.connections) > constants.NEAR_LIMIT_SHARE * self.max_connections
 
     def register(self, connection: ServerConnection) -> None:
         """Count a new connection. Beyond the limit, that which is longest in its phase is closed,
@@ -203,7 +203,7 @@
                 connection.phase is ConnectionPhase.READING and age > constants.SLOW_REQUEST_S
             ):
                 connection.close()
-        self._sweep_timer = self.loop.call_later(constants.SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(constants.CONNECTION_SWEEP_S, self._sweep)
 
     def close(self) -> None:
         """Stop listening, and end all connections at once."""
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -109,7 +109,7 @@
     def _choose(self, record_key: str, jobs: list[Job]) -> list[Job]:
         """The first jobs that can be archived, within the limits of one transaction."""
         chosen: list[Job] = []
-        operations_left = self.writer.limits.changes_at_once - 1  # one is for the record itself
+        operations_left = self.writer.limits.max_operations - 1  # one is for the record itself
         for job in filter(self.can_archive, jobs):
             external = records.JOB + job.spec.id
             operations_left -= 1 + (external in self.writer.versions and external != record_key)
--- a/peathall/peers/redirected_workers.py
+++ b/peathall/peers/redirected_workers.py
@@ -27,7 +27,7 @@
     def recent(self, now: float) -> dict[str, HeartbeatOrder]:
         """Workers redirected within `constants.REDIRECTED_S`, with their latest heartbeat."""
         for worker, (_, at) in list(self._latest.items()):
-            if now - at > constants.REPORT_ORDER_MEMORY_S:
+            if now - at > constants.HEARTBEAT_ORDER_MEMORY_S:
                 del self._latest[worker]
         # All of them, however many: the leader would take a live machine that is left out here for
         # a silent one, and delete it.
--- a/peathall/placement/machine_views.py
+++ b/peathall/placement/machine_views.py
@@ -47,7 +47,7 @@
     def starting(self, now: float) -> list[tuple[float, MachineView]]:
         """Machines that are starting, and in how many seconds they should be up."""
         return [
-            (max(1.0, self.cluster.types[machine.type].boot_s - (now - machine.created_at)),
+            (max(1.0, self.cluster.types[machine.type].startup_s - (now - machine.created_at)),
              self._view(machine, None))
             for machine in self.cluster.machines.values()
             if machine.phase is MachinePhase.STARTING and machine.cpus > 0
@@ -58,7 +58,11 @@
         recent."""
         health = self.workers.health
         silent_s = health.seconds_since_heartbeat(machine, now)
-        return machine.is_schedulable and machine.cpus > 0 and silent_s < health.suspect_s()
+        return (
+            machine.is_schedulable
+            and machine.cpus > 0
+            and silent_s < health.unschedulable_after_s()
+        )
 
     def _view(self, machine: Machine, reserved: list[float] | None) -> MachineView:
         free = (machine.free_cpus, machine.free_gpus, machine.free_ram)
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -89,7 +89,7 @@
         return (-1, spec.submitted - gang_starving_bonus_s(spec))
     # Small jobs go before large ones of about the same urgency: when not all can be in
     # time, more of them are.
-    start = job.latest_start + constants.EFFORT_WEIGHT * cluster_seconds(job, totals)
+    start = job.latest_start + constants.JOB_SIZE_WEIGHT * cluster_seconds(job, totals)
     # Gangs go before independent tasks of their priority: those fit into any capacity that is
     # left, while a gang would wait indefinitely for all of its capacity at once.
     return (spec.priority, not job.within_quota, not spec.gang, start, spec.submitted)
--- a/peathall/placement/placement.py
+++ b/peathall/placement/placement.py
@@ -118,7 +118,7 @@
         )
         since = self.loop.time()
         for _ in current.run(jobs):
-            if self.loop.time() - since > constants.SLICE_S:
+            if self.loop.time() - since > constants.ROUND_SLICE_S:
                 await asyncio.sleep(0)
                 since = self.loop.time()
         self.requests.answer(current)
--- a/peathall/protocol/cloud.py
+++ b/peathall/protocol/cloud.py
@@ -51,7 +51,7 @@
     fetch_gb_per_s: float  # rate at which a machine downloads images
     price: float  # per hour
     spot_price: float  # per hour, as it is now
-    boot_s: float  # usual startup time
+    startup_s: float  # usual startup time
     zones: list[str]  # those that have machines of this type
 
 
@@ -67,7 +67,7 @@
         fetch_gb_per_s=float(raw.get("pull_gb_per_s") or 1.0),
         price=price,
         spot_price=float(raw.get("market_price") or price),
-        boot_s=float(raw.get("startup_s") or 60.0),
+        startup_s=float(raw.get("startup_s") or 60.0),
         zones=[str(zone) for zone in raw.get("wards") or []],
     )
 
@@ -83,7 +83,7 @@
         "pull_gb_per_s": machine_type.fetch_gb_per_s,
         "rate": machine_type.price,
         "market_price": machine_type.spot_price,
-        "startup_s": machine_type.boot_s,
+        "startup_s": machine_type.startup_s,
         "wards": machine_type.zones,
     }
 
--- a/peathall/store/mutation.py
+++ b/peathall/store/mutation.py
@@ -43,7 +43,7 @@
     """Mutations for one transaction: within its limits, and none touches another's keys."""
 
     def __init__(self, limits: StateSettings) -> None:
-        self.max_ops = limits.changes_at_once
+        self.max_ops = limits.max_operations
         self.max_conditions = constants.TXN_CONDITIONS * limits.txn_ops
         self.mutations: list[Mutation] = []
         self.op_count = 0
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -55,27 +55,27 @@
             self.active_since = now
         self.last_tick = now
 
-    def silent_to_us_s(self, machine: Machine, now: float) -> float:
+    def silence_s(self, machine: Machine, now: float) -> float:
         """Seconds for which the machine could have sent a heartbeat to this leader, and has not."""
         return now - max(machine.last_heard, self.active_since)
 
-    def missed_a_report(self, machine: Machine, now: float) -> bool:
+    def heartbeat_is_overdue(self, machine: Machine, now: float) -> bool:
         """Whether its next heartbeat is overdue, allowing for delays."""
         limit = constants.PROBE_AFTER_HEARTBEATS * self.settings.report_s
-        return self.silent_to_us_s(machine, now) > limit
+        return self.silence_s(machine, now) > limit
 
     def most_are_live(self, now: float) -> bool:
         """Whether most machines send heartbeats: the fault is with those that do not."""
         limit = constants.PROBE_RECENT_HEARTBEATS * self.settings.report_s
         up = self.expected()
         heard = [
-            m for m in up if m.unacknowledged_since is None and self.silent_to_us_s(m, now) <= limit
+            m for m in up if m.unacknowledged_since is None and self.silence_s(m, now) <= limit
         ]
         return len(heard) >= constants.PROBE_MIN_LIVE_SHARE * len(up)
 
     def live_share(self, now: float) -> float:
         """Share of the machines with recent heartbeats that acknowledge the answers."""
-        limit = self.suspect_s()
+        limit = self.unschedulable_after_s()
         up = self.expected()
         heard = [
             m
@@ -84,14 +84,14 @@
         ]
         return len(heard) / max(1, len(up))
 
-    def suspect_s(self) -> float:
+    def unschedulable_after_s(self) -> float:
         """Seconds after its latest heartbeat from which a machine takes no new work."""
         return min(
             constants.SUSPECT_HEARTBEATS * self.settings.report_s,
             constants.SUSPECT_LEASE * self.settings.lease_s,
         )
 
-    def lost_s(self) -> float:
+    def lost_after_s(self) -> float:
         """Seconds after its latest heartbeat from which a machine is deleted: that releases its
         tasks well before the lease expiry would."""
         return min(
@@ -99,7 +99,7 @@
             constants.LOST_LEASE * self.settings.lease_s,
         )
 
-    def unreached_s(self) -> float:
+    def unreachable_after_s(self) -> float:
         """Seconds after which every machine would have been heard: two missed heartbeats."""
         return 2 * self.settings.report_s + constants.TICK_S
 
@@ -119,11 +119,9 @@
         """Whether this controller is likely to be cut off: most machines are silent or do not
         acknowledge its answers, and some of these send heartbeats to other controllers."""
         self.note_tick(now)
-        up, limit = self.expected(), self.unreached_s()
+        up, limit = self.expected(), self.unreachable_after_s()
         unreached = [
-            m
-            for m in up
-            if m.unacknowledged_since is not None or self.silent_to_us_s(m, now) > limit
+            m for m in up if m.unacknowledged_since is not None or self.silence_s(m, now) > limit
         ]
         return len(unreached) > constants.UNREACHABLE_SHARE * len(up) and any(
             map(self.heartbeats_elsewhere(), unreached)
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -33,7 +33,7 @@
         likely to be the network's or this controller's."""
         silent = []
         for machine in self.health.expected():
-            if not self.health.missed_a_report(machine, now):
+            if not self.health.heartbeat_is_overdue(machine, now):
                 machine.failed_probes = 0
             elif machine.replicas and machine.phase is MachinePhase.UP and machine.addr:
                 silent.append(machine)
--- a/peathall/workers/workers.py
+++ b/peathall/workers/workers.py
@@ -86,7 +86,7 @@
         )
 
     @property
-    def base(self) -> int:
+    def lowest_fencing_token(self) -> int:
         """The lowest fencing token of this term."""
         return self.tokens.lowest
 
--- a/tests/sim/fleet_day.py
+++ b/tests/sim/fleet_day.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from peathall.config.platform import CloudSettings, Limits, Settings, Team, WorkerSettings
+from peathall.config.platform import CloudSettings, MachineLimits, Settings, Team, WorkerSettings
 from tests.sim.net import VirtualLoop
 from tests.sim.sites import node_settings
 from tests.sim.test_days import draw_job
@@ -39,7 +39,7 @@
     times are all in proportion to their reports."""
     replace = msgspec.structs.replace
     plain = [node_settings(i, controllers) for i in range(controllers)]
-    limits = Limits(cpu_share, 146.0, 800)
+    limits = MachineLimits(cpu_share, 146.0, 800)
     cloud = CloudSettings(4.0, 4.0)
     workers = WorkerSettings(report_s, 4 * report_s, 7 * report_s, 4.0, 9 * report_s)
     return [
--- a/tests/sim/test_http.py
+++ b/tests/sim/test_http.py
@@ -65,7 +65,7 @@
         await asyncio.sleep(1.0)
         assert garbage.data.startswith(b"HTTP/1.1 400")
         assert huge.data.startswith(b"HTTP/1.1 400")
-        await asyncio.sleep(constants.SLOW_REQUEST_S + 2 * constants.SWEEP_S)
+        await asyncio.sleep(constants.SLOW_REQUEST_S + 2 * constants.CONNECTION_SWEEP_S)
         assert slow.closed
         assert not idle.closed
         await asyncio.sleep(constants.IDLE_CONNECTION_S)
--- a/tests/unit/test_autoscaling.py
+++ b/tests/unit/test_autoscaling.py
@@ -67,7 +67,9 @@
 def add(workers: Workers, number: int, now: float) -> Machine:
     """A machine that is up and has acknowledged an answer."""
     for seq in (1, 2):
-        workers.handle_heartbeat(report(1, seq, workers.base, machine=f"m-{number}"), now)
+        workers.handle_heartbeat(
+            report(1, seq, workers.lowest_fencing_token, machine=f"m-{number}"), now
+        )
     return workers.cluster.machines[f"m-{number}"]
 
 
@@ -235,7 +237,9 @@
         now = asyncio.get_running_loop().time()
         workers.handle_heartbeat(report(1, 1, 0, machine="m-1"), now)
         assert not autoscaler.scale_in.machines_to_delete(now + 4.0)
-        workers.handle_heartbeat(report(1, 2, workers.base, machine="m-1"), now + 5.0)
+        workers.handle_heartbeat(
+            report(1, 2, workers.lowest_fencing_token, machine="m-1"), now + 5.0
+        )
         assert [m.name for m in autoscaler.scale_in.machines_to_delete(now + 5.1)] == ["m-1"]
 
     play(test, idle_hold_s=1.0)
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -96,7 +96,7 @@
 def test_a_summary_is_bounded_and_tells_of_the_most_room_first() -> None:
     machines = [machine(f"m-{i}", f"z{i}", float(i % 5)) for i in range(4000)]
     rows = summarize(machines)
-    assert len(rows) == constants.CELL_ROOM_ROWS and rows[0].gpus == 4
+    assert len(rows) == constants.CELL_CAPACITY_ROWS and rows[0].gpus == 4
     assert len(msgspec.json.encode(rows)) < 4096
 
 
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -52,11 +52,13 @@
         workers = new_workers(0.0)
         for number in range(1, 11):
             for seq, at in ((1, 1.0), (2, LAST)):
-                workers.handle_heartbeat(report(1, seq, workers.base, machine=f"m-{number}"), at)
+                workers.handle_heartbeat(
+                    report(1, seq, workers.lowest_fencing_token, machine=f"m-{number}"), at
+                )
             workers.cluster.machines[f"m-{number}"].addr = f"10.1.0.{number}:9000"
         silent = workers.cluster.machines["m-1"]
         job = workers.cluster.jobs["j-1"] = Job(spec(daemon=True))
-        workers.cluster.allocate(job, 0, workers.base + 1, silent, "round/1")
+        workers.cluster.allocate(job, 0, workers.lowest_fencing_token + 1, silent, "round/1")
         workers.tick(LAST)
         workers.health.active_since = 0.0  # the leader has handled heartbeats all the time
         await test(workers, new_autoscaler(workers, None), silent)
@@ -87,7 +89,7 @@
         await pass_time(workers, LAST + 8.0)
         assert FakeHttpClient.asked == [silent.addr, silent.addr]
         assert deleted(autoscaler, LAST + 8.0) == ["m-1"]
-        assert workers.health.lost_s() > 8.0
+        assert workers.health.lost_after_s() > 8.0
 
     play(test)
 
@@ -97,7 +99,7 @@
         FakeHttpClient.answers = True
         await pass_time(workers, LAST + 12.0)
         assert FakeHttpClient.asked and deleted(autoscaler, LAST + 12.0) == []
-        later = LAST + workers.health.lost_s() + 1.0
+        later = LAST + workers.health.lost_after_s() + 1.0
         await pass_time(workers, later)
         # It exists, but its heartbeats reach no controller.
         assert deleted(autoscaler, later) == ["m-1"]
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -212,7 +212,7 @@
                 )
                 for name in list(workers.cluster.machines):
                     workers.handle_heartbeat(
-                        report(1, seq, workers.base * (seq - 1), machine=name), now
+                        report(1, seq, workers.lowest_fencing_token * (seq - 1), machine=name), now
                     )
                 workers.tick(now)
             assert gang.attempts == {}
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -165,7 +165,7 @@
 def machine_type() -> MachineType:
     return MachineType(
         name="g", cpus=8.0, gpus=4.0, ram=16.0, cache_gb=50.0, fetch_gb_per_s=0.5, price=10.0,
-        spot_price=3.0, boot_s=30.0, zones=["a", "b"],
+        spot_price=3.0, startup_s=30.0, zones=["a", "b"],
     )  # fmt: skip
 
 
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -99,7 +99,7 @@
     """A confirmed machine: its second heartbeat has shown a fencing token of this term."""
     workers.handle_heartbeat(report(1, 1, 0), 1.0)
     workers.tick(2.0)
-    workers.handle_heartbeat(report(1, 2, workers.base), 6.0)
+    workers.handle_heartbeat(report(1, 2, workers.lowest_fencing_token), 6.0)
     return workers.cluster.machines["m-1"]
 
 
@@ -214,8 +214,15 @@
 def test_unknown_tasks_are_stopped_with_every_answer() -> None:
     def test(workers: Workers) -> None:
         confirmed_machine(workers)
-        unknown = TaskStatus("j-9", 3, workers.base + 7, TaskState.RUNNING, None, False)
-        stop = {"writ": "stop", "parcel": "j-9/3", "try": workers.base + 7, "leave_s": 0.0}
+        unknown = TaskStatus(
+            "j-9", 3, workers.lowest_fencing_token + 7, TaskState.RUNNING, None, False
+        )
+        stop = {
+            "writ": "stop",
+            "parcel": "j-9/3",
+            "try": workers.lowest_fencing_token + 7,
+            "leave_s": 0.0,
+        }
         for sequence in (3, 4):
             heartbeat = report(1, sequence, workers.fencing_token, [unknown])
             response = workers.handle_heartbeat(heartbeat, 5.0 * sequence)
@@ -230,7 +237,9 @@
 def test_an_exit_is_forgotten_once_its_start_cannot_arrive() -> None:
     def test(workers: Workers) -> None:
         confirmed_machine(workers)
-        number = workers.base + 7  # of this term, but not in the cluster state any more
+        number = (
+            workers.lowest_fencing_token + 7
+        )  # of this term, but not in the cluster state any more
         ended = TaskStatus("j-9", 3, number, TaskState.EXITED, ExitReason.ERROR, False)
         forget = {"writ": "forget", "parcel": "j-9/3", "try": number}
         token = workers.fencing_token
@@ -352,7 +361,7 @@
         workers = new_workers(0.0)
         workers.handle_heartbeat(report(1, 1, 0), 1.0)
         workers.tick(2.0)
-        workers.handle_heartbeat(report(1, 2, workers.base), 6.0)
+        workers.handle_heartbeat(report(1, 2, workers.lowest_fencing_token), 6.0)
         machine = workers.cluster.machines["m-1"]
         job = workers.cluster.jobs["j-123456"] = Job(spec(id="j-123456", tasks=9999, cpus=0.001))
         view = MachineView("m-1", "g", "a", False, (8.0, 0.0, 16.0), (8.0, 0.0, 16.0))
@@ -391,12 +400,16 @@
         machine = confirmed_machine(workers)
         job = workers.cluster.jobs["j-1"] = Job(spec(tasks=2, daemon=True), now)
         first, second = (
-            workers.cluster.allocate(job, task, workers.base + 1, machine, "round/1")
+            workers.cluster.allocate(
+                job, task, workers.lowest_fencing_token + 1, machine, "round/1"
+            )
             for task in (0, 1)
         )
         for attempt in (first, second):
             attempt.enter(AttemptPhase.RUNNING, now)
-        ended = TaskStatus("j-1", 0, workers.base + 1, TaskState.EXITED, ExitReason.DONE, False)
+        ended = TaskStatus(
+            "j-1", 0, workers.lowest_fencing_token + 1, TaskState.EXITED, ExitReason.DONE, False
+        )
         exited = workers.exit_handler.handle(machine, ended, first, None, now)
         assert (len(job.done), job.phase, exited.done) == (0, JobPhase.ACTIVE, False)
         assert list(job.pending) == [0] and list(job.attempts) == [1]
