--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -9,7 +9,7 @@
 
 import logging
 from collections import OrderedDict
-from collections.abc import Callable
+from typing import Protocol
 
 from peathall import constants
 from peathall.cluster.job import Attempt, AttemptPhase, Job
@@ -20,10 +20,32 @@
 log = logging.getLogger("peathall.cluster")
 
 
+class ClusterListener(Protocol):
+    """Is notified of what releases bring about."""
+
+    def round_finished(self, key: str) -> None:
+        """The last attempt of the round with this key is gone."""
+
+    def capacity_freed(self) -> None:
+        """Capacity was released."""
+
+
+class IgnoredClusterEvents:
+    """Nobody is notified."""
+
+    def round_finished(self, key: str) -> None:
+        """Ignored."""
+
+    def capacity_freed(self) -> None:
+        """Ignored."""
+
+
 class ClusterState:
     """Jobs, machines, attempts, rounds and the teams' usage in one term."""
 
-    def __init__(self, term: int, first_attempt: int) -> None:
+    def __init__(
+        self, term: int, first_attempt: int, listener: ClusterListener | None = None
+    ) -> None:
         self.term = term
         self.jobs: dict[str, Job] = {}
         self.archived: dict[str, JobStatus] = {}  # the latest archived jobs
@@ -36,10 +58,7 @@
         self.rounds: dict[str, dict[Attempt, None]] = {}
         self.next_attempt = first_attempt  # the latest attempt number given out
         self.last_submission_at = -1e9  # steady time at which the latest job became known
-        # Called with the key of a round when its last attempt is gone, ...
-        self.on_round_finished: Callable[[str], None] = lambda key: None
-        # ... and after every release of capacity.
-        self.on_capacity_freed: Callable[[], None] = lambda: None
+        self.listener = listener or IgnoredClusterEvents()
 
     def new_attempt_number(self) -> int:
         """A number that no attempt has had, in this term or an earlier one."""
@@ -129,8 +148,8 @@
         del self.rounds[attempt.round_key][attempt]
         if not self.rounds[attempt.round_key]:
             del self.rounds[attempt.round_key]
-            self.on_round_finished(attempt.round_key)
-        self.on_capacity_freed()
+            self.listener.round_finished(attempt.round_key)
+        self.listener.capacity_freed()
 
     def remove_machine(self, machine: Machine, now: float, reason: str) -> list[Attempt]:
         """Remove a machine that is gone, and release its attempts; these are returned."""
--- a/peathall/leader/events.py
+++ b/peathall/leader/events.py
@@ -22,8 +22,9 @@
 class SliceEvents:
     """Passes each event to the slices that it concerns.
 
-    It is the `WorkerListener` of the workers, the `RemoteJobs` of the jobs, a `DemandListener` of
-    placement, the `ScalingLeader` of the autoscaler and the `TaskStopper` of the cells.
+    It is the `ClusterListener` of the cluster state, the `WorkerListener` of the workers, the
+    `JobListener` and the `RemoteJobs` of the jobs, a `DemandListener` of placement, the
+    `ScalingLeader` of the autoscaler and the `TaskStopper` of the cells.
     """
 
     def __init__(self, slices: LeaderSlices, state: TermState) -> None:
@@ -35,6 +36,15 @@
         """Whether the leader may act now."""
         return self._state.is_active()
 
+    # --- from the cluster state ----------------------------------------------
+    def round_finished(self, key: str) -> None:
+        """The last attempt of a round is gone: its record is not needed any more."""
+        self._slices.placement.rounds.delete(key)
+
+    def capacity_freed(self) -> None:
+        """Capacity was released: request a round."""
+        self._slices.placement.request_round()
+
     # --- from the workers ----------------------------------------------------
     def tasks_done(self, job: Job) -> None:
         """Heartbeats have shown tasks of the job to be done."""
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -40,7 +40,7 @@
         self._params = context.settings.params
         self._state = state
         self.events = SliceEvents(self, state)
-        self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term))
+        self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term), self.events)
         self.writer = self._make_writer(leader_term)
         self.duties = self._make_duties(leader_term)
         self.workers = self._make_workers()
@@ -49,7 +49,6 @@
         self.jobs = self._make_jobs()
         self.autoscaler = self._make_autoscaler()
         self.placement = self._make_placement()
-        self.cluster.on_capacity_freed = self.placement.request_round
         self.cell_leader = self._make_cell_leader()
         self.cells: LeaderCells = self.cell_leader or NoCells()
 
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -121,7 +121,6 @@
         self.compaction = compaction or writer  # compacts and deletes records
         self._number = 0
         self._sizes: dict[str, RecordSize] = {}
-        cluster.on_round_finished = self.delete
 
     def load(self, items: list[KeyValue], now: float) -> None:
         """After a failover: allocate all attempts that may still exist."""
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -22,7 +22,7 @@
 from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_store import FakeStore, lead
-from tests.unit.test_workers import TERM, new_placement, new_workers, report
+from tests.unit.test_workers import TERM, new_cluster, new_placement, new_workers, report
 
 SMALLEST = StateSettings(100.0, 50.0, 2.0, 4)  # 2 KiB a value, 4 changes a transaction
 
@@ -49,8 +49,8 @@
         store.spare = 50.0
         writer = Writer(store, SMALLEST, lead(), lambda: True, lambda: None)
         writing = asyncio.create_task(writer.run())
-        cluster = ClusterState(TERM, first_attempt(TERM))
-        rounds = RoundRecords(cluster, writer)
+        cluster, events = new_cluster()
+        rounds = events.records = RoundRecords(cluster, writer)
         cluster.machine("m-000001", "", "", False, MachinePhase.UP, 0.0)
         service = cluster.jobs["j-1"] = Job(spec(id="j-1", daemon=True, tasks=30))
         largest = 0
@@ -95,8 +95,8 @@
         store: Any = FakeStore()
         writer = Writer(store, SMALLEST, lead(), lambda: True, lambda: None)
         writing = asyncio.create_task(writer.run())
-        cluster = ClusterState(TERM, first_attempt(TERM))
-        rounds = RoundRecords(cluster, writer)
+        cluster, events = new_cluster()
+        rounds = events.records = RoundRecords(cluster, writer)
         cluster.machine("m-000001", "", "", False, MachinePhase.UP, 0.0)
         job = cluster.jobs["j-1"] = Job(spec(id="j-1", tasks=8))
         (part,) = rounds.write([Assignment("j-1", "m-000001", 8)], 0.0)
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -21,6 +21,7 @@
 )
 from peathall.leadership.lease import fencing_token, first_attempt
 from peathall.placement.placement import Placement
+from peathall.placement.rounds import RoundRecords
 from peathall.placement.views import MachineView
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
@@ -54,9 +55,28 @@
     return TaskStatus(attempt.job.spec.id, 0, attempt.number, TaskState.RUNNING, None, False)
 
 
+class RoundEvents:
+    """Deletes the record of a round that is finished, as a leader does."""
+
+    def __init__(self) -> None:
+        self.records: RoundRecords | None = None  # of the placement, once there is one
+
+    def round_finished(self, key: str) -> None:
+        if self.records is not None:
+            self.records.delete(key)
+
+    def capacity_freed(self) -> None:
+        pass
+
+
+def new_cluster() -> tuple[ClusterState, RoundEvents]:
+    events = RoundEvents()
+    return ClusterState(TERM, first_attempt(TERM), events), events
+
+
 def new_workers(now: float) -> Workers:
     """Those of a leader whose failover was at this time and whose leader lease is valid."""
-    cluster = ClusterState(TERM, first_attempt(TERM))
+    cluster, _ = new_cluster()
     cluster.types = {"g": KIND}
     settings = WorkerSettings(5.0, 24.0, 40.0, 4.0, 40.0)
     return Workers(cluster, settings, now, lambda: True, IgnoredEvents(), DeliveryLimits(9))
@@ -85,7 +105,12 @@
     state = StateSettings(100.0, 50.0, 2.0, 4)
     params = Params(workers.settings, state, CloudSettings(4.0, 4.0), [Team("t")])
     demand: Any = SimpleNamespace(note_unplaced=lambda plan: None)
-    return Placement(workers.cluster, params, writer, workers, lambda: 0.0, lambda: True, [demand])
+    placement = Placement(
+        workers.cluster, params, writer, workers, lambda: 0.0, lambda: True, [demand]
+    )
+    events: Any = workers.cluster.listener
+    events.records = placement.rounds
+    return placement
 
 
 def play(test: Callable[[Workers], None]) -> None:
