--- a/peathall/autoscaling/provisioner.py
+++ b/peathall/autoscaling/provisioner.py
@@ -5,9 +5,10 @@
 import asyncio
 import logging
 from collections.abc import Callable, Coroutine
-from dataclasses import dataclass
 from typing import Any
 
+from msgspec import Struct
+
 from peathall import constants
 from peathall.autoscaling.actions import (
     CloudActions,
@@ -22,8 +23,7 @@
 log = logging.getLogger("peathall.autoscaling")
 
 
-@dataclass(frozen=True, slots=True)
-class NamedProvision:
+class NamedProvision(Struct, frozen=True):
     """So many machines of a kind, requested under a name that is never used again."""
 
     name: str
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -4,7 +4,8 @@
 
 import logging
 from collections.abc import Callable
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from peathall import constants
 from peathall.autoscaling.scale_out import offer_of, suits
@@ -19,8 +20,7 @@
 log = logging.getLogger("peathall.autoscaling")
 
 
-@dataclass(frozen=True, slots=True)
-class CapacityShortage:
+class CapacityShortage(Struct, frozen=True):
     """What the cloud does not provide."""
 
     starving: list[JobSpec]  # jobs that have waited long for machines
--- a/peathall/cells/cell_leader.py
+++ b/peathall/cells/cell_leader.py
@@ -6,10 +6,11 @@
 import logging
 import random
 from collections.abc import Callable, Coroutine, Iterator
-from dataclasses import dataclass
 from http import HTTPStatus
 from typing import Any
 
+from msgspec import Struct
+
 from peathall import constants
 from peathall.cells.borrower import BorrowedJobs, TaskStopper
 from peathall.cells.client import CellClient
@@ -37,16 +38,14 @@
 log = logging.getLogger("peathall.cells")
 
 
-@dataclass(frozen=True, slots=True)
-class CellRecords:
+class CellRecords(Struct, frozen=True):
     """The records that a new leader reads."""
 
     handoffs: list[KeyValue]
     borrowed: list[KeyValue]
 
 
-@dataclass(frozen=True, slots=True)
-class CellEnvironment:
+class CellEnvironment(Struct, frozen=True):
     """What the controller and the leader's term give to the cells."""
 
     wall: Callable[[], float]  # time of day
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -10,9 +10,10 @@
 import random
 from collections import Counter
 from collections.abc import Callable, Container, Iterable, Sequence
-from dataclasses import dataclass, field
 from typing import Protocol
 
+from msgspec import Struct, field
+
 from peathall import constants
 from peathall.cells.capacity import fits_whole
 from peathall.cells.model import CapacityRow
@@ -23,8 +24,7 @@
 from peathall.protocol.jobs import JobSpec, Priority
 
 
-@dataclass(slots=True)
-class Backoff:
+class Backoff(Struct):
     """Doubles with each failure, with jitter, and is over with a success."""
 
     least_s: float
@@ -52,8 +52,7 @@
         """Its latest summary of free capacity; empty if that is too old."""
 
 
-@dataclass(slots=True)
-class WaitingJob:
+class WaitingJob(Struct):
     """A job that is not placed at home."""
 
     since: float  # steady time
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -12,10 +12,10 @@
 import logging
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Protocol
 
 import msgspec
+from msgspec import Struct
 
 from peathall import constants
 from peathall.duties.board import DutyBoard
@@ -37,8 +37,7 @@
 log = logging.getLogger("peathall.duties")
 
 
-@dataclass(frozen=True, slots=True)
-class Tenure:
+class Tenure(Struct, frozen=True):
     """One ownership of a duty, from a successful claim to the end of its lease."""
 
     holder: HolderRecord  # with the fencing token
--- a/peathall/duties/delegation.py
+++ b/peathall/duties/delegation.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from peathall.duties.delegate import DelegatedCloud
 from peathall.duties.holders import Holders
 from peathall.duties.writes import DelegatedWrites
 
 
-@dataclass(frozen=True, slots=True)
-class Delegation:
+class Delegation(Struct, frozen=True):
     """A leader's ways to the holders, for one term."""
 
     cloud: DelegatedCloud
--- a/peathall/leader/context.py
+++ b/peathall/leader/context.py
@@ -4,9 +4,10 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import TYPE_CHECKING, Protocol
 
+from msgspec import Struct
+
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.config.platform import Settings
 from peathall.operator_config.settings import Operator
@@ -27,8 +28,7 @@
         """End the term: the leader key was found to be another controller's."""
 
 
-@dataclass(frozen=True, slots=True)
-class ControllerContext:
+class ControllerContext(Struct, frozen=True):
     """The parts of a controller that outlive its terms and that its leaders use."""
 
     settings: Settings
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -4,9 +4,10 @@
 
 import asyncio
 import logging
-from dataclasses import dataclass
 from typing import Any
 
+from msgspec import Struct
+
 from peathall import constants
 from peathall.autoscaling.machine_types import TYPES
 from peathall.jobs import records
@@ -21,8 +22,7 @@
 log = logging.getLogger("peathall.leader")
 
 
-@dataclass(frozen=True, slots=True)
-class StoredState:
+class StoredState(Struct, frozen=True):
     """All records that a leader recovers from, as read; None: there is no such record."""
 
     types: KeyValue | None
--- a/peathall/leadership/campaign.py
+++ b/peathall/leadership/campaign.py
@@ -4,10 +4,10 @@
 
 import asyncio
 import logging
-from dataclasses import dataclass, field
 from typing import Protocol
 
 import msgspec
+from msgspec import Struct, field
 
 from peathall import constants
 from peathall.config.modes import Mode
@@ -22,8 +22,7 @@
 log = logging.getLogger("peathall.leadership")
 
 
-@dataclass(frozen=True, slots=True)
-class CampaignTerms:
+class CampaignTerms(Struct, frozen=True):
     """What a campaign depends on besides the leader key, and what it writes besides it."""
 
     conditions: dict[str, int]  # keys and the versions that they must have; 0: no such key
--- a/peathall/leadership/term.py
+++ b/peathall/leadership/term.py
@@ -4,7 +4,8 @@
 
 import asyncio
 import logging
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from peathall import constants
 from peathall.leadership.lease import LeaderLease
@@ -15,8 +16,7 @@
 log = logging.getLogger("peathall.leadership")
 
 
-@dataclass(frozen=True, slots=True)
-class LeaderTerm:
+class LeaderTerm(Struct, frozen=True):
     """The term number, the leader key as it was written, and the lease that it is bound to."""
 
     term: int
--- a/peathall/placement/capacity.py
+++ b/peathall/placement/capacity.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+
+from msgspec import Struct, structs
 
 from peathall.placement.bin_packing import fits_in
 from peathall.placement.views import MachineView, Victim
 from peathall.protocol.jobs import JobSpec
 
 
-@dataclass(frozen=True, slots=True)
-class MachineCapacity:
+class MachineCapacity(Struct, frozen=True):
     """Capacity for some tasks on one machine, and what would have to be preempted for it."""
 
     machine: MachineView
@@ -21,7 +21,7 @@
 
     def at_most(self, count: int) -> MachineCapacity:
         """The same for no more tasks than that."""
-        return replace(self, count=min(self.count, count))
+        return structs.replace(self, count=min(self.count, count))
 
 
 def capacity_with_victims(
--- a/peathall/placement/capacity_requests.py
+++ b/peathall/placement/capacity_requests.py
@@ -4,7 +4,8 @@
 
 import asyncio
 from collections.abc import Callable
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from peathall.placement.job_views import JobViews
 from peathall.placement.planner import Round
@@ -12,8 +13,7 @@
 from peathall.protocol.jobs import JobSpec
 
 
-@dataclass(frozen=True, slots=True)
-class CapacityRequest:
+class CapacityRequest(Struct, frozen=True):
     """Another cell's job for which capacity is to be reserved, if the next round leaves enough."""
 
     spec: JobSpec
--- a/peathall/placement/context.py
+++ b/peathall/placement/context.py
@@ -2,11 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from msgspec import Struct, field
 
 
-@dataclass(slots=True)
-class RoundContext:
+class RoundContext(Struct):
     """The round that was begun last."""
 
     wall: float = 0.0  # time of day at its beginning
--- a/peathall/placement/plan.py
+++ b/peathall/placement/plan.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, NamedTuple
 
+from msgspec import Struct, field
+
 if TYPE_CHECKING:  # views name tasks by the key below
     from peathall.placement.views import JobView
 
@@ -16,8 +17,7 @@
     task: int
 
 
-@dataclass(slots=True)
-class Assignment:
+class Assignment(Struct):
     """Some tasks of a job are to start on a machine."""
 
     job: str
@@ -25,8 +25,7 @@
     count: int
 
 
-@dataclass(frozen=True, slots=True)
-class Move:
+class Move(Struct, frozen=True):
     """A replica is to be stopped, since capacity for it is reserved on another machine."""
 
     job: str
@@ -34,8 +33,7 @@
     machine: str  # where it is to run next
 
 
-@dataclass(slots=True)
-class Plan:
+class Plan(Struct):
     """What a round decided."""
 
     assignments: list[Assignment] = field(default_factory=list)
--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from math import inf
 
+from msgspec import Struct
+
 from peathall import constants
 from peathall.placement.capacity import MachineCapacity, capacity_with_victims, free_in
 from peathall.placement.plan import Plan
@@ -16,8 +17,7 @@
 from peathall.protocol.jobs import JobSpec
 
 
-@dataclass(frozen=True, slots=True)
-class FutureCapacity:
+class FutureCapacity(Struct, frozen=True):
     """Capacity for some tasks on a machine, once work there has ended by itself."""
 
     wait_s: float
--- a/peathall/placement/reservations.py
+++ b/peathall/placement/reservations.py
@@ -5,7 +5,8 @@
 
 from collections import Counter
 from collections.abc import Callable, Iterator
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.machine import Machine
@@ -13,8 +14,7 @@
 from peathall.protocol.jobs import JobSpec
 
 
-@dataclass(frozen=True, slots=True)
-class Reservation:
+class Reservation(Struct, frozen=True):
     """Capacity for one task on a machine: for a replica whose old attempt may still exist, or for
     a task of another cell's job that has not been handed off to us yet."""
 
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -10,7 +10,6 @@
 
 import asyncio
 from collections.abc import Iterable, Iterator
-from dataclasses import dataclass
 from functools import partial
 from itertools import groupby
 from typing import Any
@@ -75,8 +74,7 @@
     return [part for part in parts if part]
 
 
-@dataclass(slots=True)
-class RecordPart:
+class RecordPart(Struct):
     """One record of a round, which may take several."""
 
     key: str
@@ -102,8 +100,7 @@
         yield joined
 
 
-@dataclass(slots=True)
-class RecordSize:
+class RecordSize(Struct):
     """How many attempts a stored record names."""
 
     attempts: int
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -7,7 +7,8 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Collection, Container, Iterable, Mapping, Sequence
-from dataclasses import KW_ONLY, dataclass, field
+
+from msgspec import Struct, field
 
 from peathall import constants
 from peathall.placement.bin_packing import fits_in
@@ -171,29 +172,25 @@
         self.free[2] -= spec.ram * count
 
 
-@dataclass(frozen=True, slots=True)
-class MovingReplica:
+class MovingReplica(Struct, frozen=True):
     """A replica on a machine that is being drained."""
 
     task: int
     zone: str
 
 
-@dataclass(frozen=True, slots=True)
-class TeamWork:
+class TeamWork(Struct, frozen=True):
     """What of a team's work may be preempted for its own work of higher priority."""
 
     being_freed: tuple[float, float] = (0.0, 0.0)  # CPUs and GPUs of what is being stopped already
     preemptible: Sequence[Sequence[Victim]] = ()  # each inner sequence is preempted as a whole
 
 
-@dataclass(slots=True, eq=False)
-class JobView:
+class JobView(Struct, eq=False):
     """A job in one round: how many tasks are pending, and what determines their order."""
 
     spec: JobSpec
     pending: int
-    _: KW_ONLY
     within_quota: bool = False  # within its team's quota
     latest_start: float = 0.0  # time of day; in the past if the objective is missed
     running_zones: dict[str, int] = field(default_factory=dict)  # zone -> tasks there
--- a/peathall/store/committer.py
+++ b/peathall/store/committer.py
@@ -11,7 +11,8 @@
 
 import asyncio
 import logging
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from peathall import constants
 from peathall.protocol.state_service import Delete, Put
@@ -30,30 +31,26 @@
 log = logging.getLogger("peathall.store")
 
 
-@dataclass(slots=True)
-class Applied:
+class Applied(Struct):
     """The transaction was carried out, at this revision."""
 
     revision: int
     attempt_pending: bool = False  # an earlier attempt has no response, and may yet be carried out
 
 
-@dataclass(slots=True)
-class Rejected:
+class Rejected(Struct):
     """The service will never carry out the transaction. No attempt is pending."""
 
     error: InvalidTransactionError
 
 
-@dataclass(slots=True)
-class Conflicted:
+class Conflicted(Struct):
     """Conditions on these keys do not hold. No attempt is pending."""
 
     keys: list[str]
 
 
-@dataclass(slots=True)
-class Abandoned:
+class Abandoned(Struct):
     """Leadership is lost, or the writer was stopped."""
 
 
--- a/peathall/store/transaction.py
+++ b/peathall/store/transaction.py
@@ -2,9 +2,10 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
 from typing import Any
 
+from msgspec import Struct
+
 from peathall import constants
 from peathall.protocol.state_service import Delete, Put
 from peathall.store.mutation import Mutation
@@ -25,8 +26,7 @@
         self.lease = lease
 
 
-@dataclass(slots=True)
-class Transaction:
+class Transaction(Struct):
     """The mutations of a batch as one transaction, and how its attempts went."""
 
     batch: list[Mutation]
--- a/peathall/workers/attempt_tracking.py
+++ b/peathall/workers/attempt_tracking.py
@@ -2,15 +2,14 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from peathall.workers.direct_starts import DirectStarts
 from peathall.workers.exits import ExitedAttempts
 from peathall.workers.unknown_tasks import UnknownTasks
 
 
-@dataclass(frozen=True, slots=True)
-class AttemptTracking:
+class AttemptTracking(Struct, frozen=True):
     """Written by the reconciliation of heartbeats, read when commands are chosen."""
 
     exits: ExitedAttempts
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -6,9 +6,10 @@
 import logging
 from collections import OrderedDict
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import Any, Protocol
 
+from msgspec import Struct
+
 from peathall import constants
 from peathall.cluster.machine import Machine
 from peathall.http.client import HttpClient, NoAnswerError
@@ -29,8 +30,7 @@
         """Apply the response, which has the form of a heartbeat."""
 
 
-@dataclass(frozen=True, slots=True)
-class DeliveryLimits:
+class DeliveryLimits(Struct, frozen=True):
     """Bounds of direct commands."""
 
     connections: int  # open at once, at most
--- a/peathall/workers/exits.py
+++ b/peathall/workers/exits.py
@@ -3,7 +3,8 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from peathall.cluster.state import ClusterState
 
@@ -12,8 +13,7 @@
 ExitKey = tuple[str, int, int]
 
 
-@dataclass(slots=True)
-class ExitedAttempt:
+class ExitedAttempt(Struct):
     """An ended attempt that its machine still reports."""
 
     job: str
