--- a/peathall/cells/cell_leader.py
+++ b/peathall/cells/cell_leader.py
@@ -6,10 +6,11 @@
 import logging
 import random
 from collections.abc import Callable, Coroutine, Iterator
-from dataclasses import dataclass
 from http import HTTPStatus
 from typing import Any
 
+from msgspec import Struct
+
 from peathall import constants
 from peathall.cells.borrower import BorrowedJobs, TaskStopper
 from peathall.cells.client import CellClient
@@ -37,14 +38,22 @@
 log = logging.getLogger("peathall.cells")
 
 
-@dataclass(frozen=True, slots=True)
-class CellRecords:
+class CellRecords(Struct, frozen=True):
     """The records that a new leader reads."""
 
     handoffs: list[KeyValue]
     borrowed: list[KeyValue]
 
 
+class CellEnvironment(Struct, frozen=True):
+    """What the controller and the leader's term give to the cells."""
+
+    wall: Callable[[], float]  # time of day
+    is_leader: Callable[[], bool]  # whether the leader may act now
+    may_send: Callable[[], bool]  # whether the leader lease is valid, also during recovery
+    rng: random.Random
+
+
 class CellLeader:
     """Both sides of handoffs, heartbeats, offers, and what users of borrowed jobs get."""
 
@@ -57,12 +66,10 @@
         jobs: Jobs,
         capacity: MachineCapacity,
         tasks: TaskStopper,
-        wall: Callable[[], float],
-        is_leader: Callable[[], bool],
-        may_send: Callable[[], bool],
-        rng: random.Random,
+        environment: CellEnvironment,
     ) -> None:
         clock = self.clock = asyncio.get_running_loop().time
+        is_leader, rng = environment.is_leader, environment.rng
         self.settings = settings
         self.cluster = cluster
         self.writer = writer
@@ -70,7 +77,7 @@
         self.is_leader = is_leader
         # Leases are requested before this leader serves: a valid leader lease suffices for that.
         self.cells = {
-            neighbour.name: CellClient(neighbour, may_send, clock)
+            neighbour.name: CellClient(neighbour, environment.may_send, clock)
             for neighbour in settings.neighbour
         }
         workers = params.workers
@@ -87,7 +94,9 @@
         self.requests = CellRequestHandler(
             settings, self.cells, self.home, self.borrower, self.sender, jobs, is_leader, clock
         )
-        self.spiller = Spiller(cluster, params, self.cells, self.home, capacity, clock, wall, rng)
+        self.spiller = Spiller(
+            cluster, params, self.cells, self.home, capacity, clock, environment.wall, rng
+        )
 
     def _wake(self, cell: str) -> None:
         self.sender.wake(cell)
@@ -113,7 +122,7 @@
         homes = [name for name in self.borrower.counts() if name in self.cells]
         if homes:
             requests = [asyncio.ensure_future(self.sender.send(self.cells[name])) for name in homes]
-            _, late = await asyncio.wait(requests, timeout=constants.CELL_TAKEOVER_S)
+            _, late = await asyncio.wait(requests, timeout=constants.CELL_LEASE_REQUEST_S)
             for request in late:
                 request.cancel()
         self.borrower.hold_unconfirmed(self.clock())
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -40,7 +40,7 @@
         self._params = context.settings.params
         self._state = state
         self.events = SliceEvents(self, state)
-        self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term))
+        self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term), self.events)
         self.writer = self._make_writer(leader_term)
         self.duties = self._make_duties(leader_term)
         self.workers = self._make_workers()
@@ -49,7 +49,6 @@
         self.jobs = self._make_jobs()
         self.autoscaler = self._make_autoscaler()
         self.placement = self._make_placement()
-        self.cluster.on_capacity_freed = self.placement.request_round
         self.cell_leader = self._make_cell_leader()
         self.cells: LeaderCells = self.cell_leader or NoCells()
 
@@ -132,7 +131,7 @@
         if settings is None:
             return None
         # Imported here only: a controller without cells must not spend the memory.
-        from peathall.cells.cell_leader import CellLeader
+        from peathall.cells.cell_leader import CellEnvironment, CellLeader
 
         return CellLeader(
             settings=settings,
@@ -142,8 +141,10 @@
             jobs=self.jobs,
             capacity=self.placement,
             tasks=self.events,
-            wall=self._context.wall,
-            is_leader=self._state.is_active,
-            may_send=self._state.lease_is_valid,
-            rng=self._context.rng,
+            environment=CellEnvironment(
+                wall=self._context.wall,
+                is_leader=self._state.is_active,
+                may_send=self._state.lease_is_valid,
+                rng=self._context.rng,
+            ),
         )
--- a/tests/sim/fleet_day.py
+++ b/tests/sim/fleet_day.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from peathall.config.platform import CloudSettings, Limits, Settings, Team, WorkerSettings
+from peathall.config.platform import CloudSettings, MachineLimits, Settings, Team, WorkerSettings
 from tests.sim.net import VirtualLoop
 from tests.sim.site_network import Timing
 from tests.sim.sites import controller_settings
@@ -44,7 +44,7 @@
     times are all in proportion to the interval of their heartbeats."""
     replace = msgspec.structs.replace
     plain = [controller_settings(i, controllers) for i in range(controllers)]
-    limits = Limits(cpu_share, 146.0, 800)
+    limits = MachineLimits(cpu_share, 146.0, 800)
     cloud = CloudSettings(4.0, 4.0)
     workers = WorkerSettings(heartbeat_s, 4 * heartbeat_s, 7 * heartbeat_s, 4.0, 9 * heartbeat_s)
     return [
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -21,6 +21,7 @@
 )
 from peathall.leadership.lease import fencing_token, first_attempt
 from peathall.placement.placement import Placement
+from peathall.placement.rounds import RoundRecords
 from peathall.placement.views import MachineView
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.codec import json_size
@@ -54,9 +55,28 @@
     return TaskStatus(attempt.job.spec.id, 0, attempt.number, TaskState.RUNNING, None, False)
 
 
+class RoundEvents:
+    """Deletes the record of a round that is finished, as a leader does."""
+
+    def __init__(self) -> None:
+        self.records: RoundRecords | None = None  # of the placement, once there is one
+
+    def round_finished(self, key: str) -> None:
+        if self.records is not None:
+            self.records.delete(key)
+
+    def capacity_freed(self) -> None:
+        pass
+
+
+def new_cluster() -> tuple[ClusterState, RoundEvents]:
+    events = RoundEvents()
+    return ClusterState(TERM, first_attempt(TERM), events), events
+
+
 def new_workers(now: float) -> Workers:
     """Those of a leader whose failover was at this time and whose leader lease is valid."""
-    cluster = ClusterState(TERM, first_attempt(TERM))
+    cluster, _ = new_cluster()
     cluster.types = {"g": KIND}
     settings = WorkerSettings(5.0, 24.0, 40.0, 4.0, 40.0)
     return Workers(cluster, settings, now, lambda: True, IgnoredEvents(), DeliveryLimits(9))
@@ -85,7 +105,12 @@
     state = StateSettings(100.0, 50.0, 2.0, 4)
     params = Params(workers.settings, state, CloudSettings(4.0, 4.0), [Team("t")])
     demand: Any = SimpleNamespace(note_unplaced=lambda plan: None)
-    return Placement(workers.cluster, params, writer, workers, lambda: 0.0, lambda: True, [demand])
+    placement = Placement(
+        workers.cluster, params, writer, workers, lambda: 0.0, lambda: True, [demand]
+    )
+    events: Any = workers.cluster.listener
+    events.records = placement.rounds
+    return placement
 
 
 def play(test: Callable[[Workers], None]) -> None:
@@ -99,7 +124,7 @@
     """A confirmed machine: its second heartbeat has shown a fencing token of this term."""
     workers.handle_heartbeat(report(1, 1, 0), 1.0)
     workers.tick(2.0)
-    workers.handle_heartbeat(report(1, 2, workers.base), 6.0)
+    workers.handle_heartbeat(report(1, 2, workers.lowest_fencing_token), 6.0)
     return workers.cluster.machines["m-1"]
 
 
@@ -214,8 +239,15 @@
 def test_unknown_tasks_are_stopped_with_every_answer() -> None:
     def test(workers: Workers) -> None:
         confirmed_machine(workers)
-        unknown = TaskStatus("j-9", 3, workers.base + 7, TaskState.RUNNING, None, False)
-        stop = {"writ": "stop", "parcel": "j-9/3", "try": workers.base + 7, "leave_s": 0.0}
+        unknown = TaskStatus(
+            "j-9", 3, workers.lowest_fencing_token + 7, TaskState.RUNNING, None, False
+        )
+        stop = {
+            "writ": "stop",
+            "parcel": "j-9/3",
+            "try": workers.lowest_fencing_token + 7,
+            "leave_s": 0.0,
+        }
         for sequence in (3, 4):
             heartbeat = report(1, sequence, workers.fencing_token, [unknown])
             response = workers.handle_heartbeat(heartbeat, 5.0 * sequence)
@@ -230,7 +262,9 @@
 def test_an_exit_is_forgotten_once_its_start_cannot_arrive() -> None:
     def test(workers: Workers) -> None:
         confirmed_machine(workers)
-        number = workers.base + 7  # of this term, but not in the cluster state any more
+        number = (
+            workers.lowest_fencing_token + 7
+        )  # of this term, but not in the cluster state any more
         ended = TaskStatus("j-9", 3, number, TaskState.EXITED, ExitReason.ERROR, False)
         forget = {"writ": "forget", "parcel": "j-9/3", "try": number}
         token = workers.fencing_token
@@ -352,7 +386,7 @@
         workers = new_workers(0.0)
         workers.handle_heartbeat(report(1, 1, 0), 1.0)
         workers.tick(2.0)
-        workers.handle_heartbeat(report(1, 2, workers.base), 6.0)
+        workers.handle_heartbeat(report(1, 2, workers.lowest_fencing_token), 6.0)
         machine = workers.cluster.machines["m-1"]
         job = workers.cluster.jobs["j-123456"] = Job(spec(id="j-123456", tasks=9999, cpus=0.001))
         view = MachineView("m-1", "g", "a", False, (8.0, 0.0, 16.0), (8.0, 0.0, 16.0))
@@ -391,12 +425,16 @@
         machine = confirmed_machine(workers)
         job = workers.cluster.jobs["j-1"] = Job(spec(tasks=2, daemon=True), now)
         first, second = (
-            workers.cluster.allocate(job, task, workers.base + 1, machine, "round/1")
+            workers.cluster.allocate(
+                job, task, workers.lowest_fencing_token + 1, machine, "round/1"
+            )
             for task in (0, 1)
         )
         for attempt in (first, second):
             attempt.enter(AttemptPhase.RUNNING, now)
-        ended = TaskStatus("j-1", 0, workers.base + 1, TaskState.EXITED, ExitReason.DONE, False)
+        ended = TaskStatus(
+            "j-1", 0, workers.lowest_fencing_token + 1, TaskState.EXITED, ExitReason.DONE, False
+        )
         exited = workers.exit_handler.handle(machine, ended, first, None, now)
         assert (len(job.done), job.phase, exited.done) == (0, JobPhase.ACTIVE, False)
         assert list(job.pending) == [0] and list(job.attempts) == [1]
