--- a/bench/larger.py
+++ b/bench/larger.py
@@ -60,7 +60,7 @@
                 return 0
             await player.steady(STEADY_S)
             leader = player.leader()
-            kept = kept_bytes([leader.cluster, leader.workers.exits]) if leader else 0
+            kept = kept_bytes([leader.cluster, leader.workers.tracking.exits]) if leader else 0
             if leader is not None:
                 await player.fail_over(LIMIT_S)
             if player.leader() is not None:
