--- a/bench/cost.py
+++ b/bench/cost.py
@@ -18,9 +18,11 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.placement.service import Placement
+from peathall.protocol import codec
+from peathall.protocol.cloud import MachineType
+from peathall.protocol.heartbeats import report_from_wire
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import CloudSettings, Params, StateSettings, Team, WorkerSettings
-from peathall.wire import body, names
-from peathall.wire.names import JobSpec, MachineType
 from peathall.workers.events import IgnoredEvents
 from peathall.workers.service import Workers
 
@@ -78,10 +80,10 @@
     rounds = 200
     began = time.process_time()
     for tick in range(rounds):
-        raw = body.cbor_bytes(wire | {"tick": tick})
-        report = names.report_from_wire(body.cbor_map(raw))
+        raw = codec.cbor_bytes(wire | {"tick": tick})
+        report = report_from_wire(codec.cbor_map(raw))
         _, answer = workers.checkin(report, now)
-        body.cbor_bytes(answer)
+        codec.cbor_bytes(answer)
     each = (time.process_time() - began) / rounds
     kind = "aged jobs" if aged else "jobs"
     print(
--- a/bench/freezes.py
+++ b/bench/freezes.py
@@ -26,7 +26,7 @@
 from hdrh.histogram import HdrHistogram
 
 from peathall.http.client import HttpClient, NoAnswerError
-from peathall.wire import body
+from peathall.protocol import codec
 from tests.sim.duty_history import DutyJudge
 
 ROOT = Path(__file__).resolve().parents[1]
@@ -146,7 +146,7 @@
     for turn in range(600):
         client = HttpClient(f"127.0.0.1:{site.api[(number + turn) % site.size]}", keep=0)
         try:
-            status, _ = await client.request("POST", "/work", body.cbor_bytes(job), 3.0)
+            status, _ = await client.request("POST", "/work", codec.cbor_bytes(job), 3.0)
             if status in (200, 201):
                 return str(job["id"])
         except NoAnswerError:
@@ -162,7 +162,7 @@
                 "GET", f"/work/{job_id}", b"", 2.0
             )
             if status == 200:
-                return str(body.cbor_any(raw)["standing"])
+                return str(codec.cbor_any(raw)["standing"])
         except NoAnswerError:
             continue
     return "unknown"
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -33,11 +33,10 @@
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.service import can_never_run
 from peathall.leadership.lease import LeadLease
+from peathall.protocol.jobs import JobSpec, spec_from_record, spec_to_record
 from peathall.settings import Params
 from peathall.store.client import ConflictError, Drop, Item, Put, StoreError
 from peathall.store.writer import Writer
-from peathall.wire import names
-from peathall.wire.names import JobSpec
 
 log = logging.getLogger("peathall.cells")
 
@@ -156,7 +155,7 @@
         for item in items:
             self.writer.versions[item.key] = item.version
             record = msgspec.convert(item.value, BorrowedRecord)
-            job = self._new_job(names.spec_from_record(record.job), now)
+            job = self._new_job(spec_from_record(record.job), now)
             held = BorrowedJob(record.home, record.epoch, record.phase, job, now)
             self.borrowed[job.spec.id] = held
             if record.phase is not BorrowPhase.RESERVED:
@@ -179,7 +178,7 @@
 
     async def _store(self, held: BorrowedJob, phase: BorrowPhase) -> bool:
         """Store the next phase; only then is it entered, and told."""
-        record = BorrowedRecord(held.epoch, held.home, phase, names.spec_to_record(held.spec))
+        record = BorrowedRecord(held.epoch, held.home, phase, spec_to_record(held.spec))
         return await self._commit(held, Put(held.key, to_value(record)), phase)
 
     async def _commit(self, held: BorrowedJob, op: Put | Drop, phase: BorrowPhase) -> bool:
@@ -202,7 +201,7 @@
     # --- reserving -----------------------------------------------------------
     async def reserve(self, offer: Offer) -> str | None:
         """Keep room for an offered job. Why not, or None once the reservation is stored."""
-        spec = names.spec_from_record(offer.job)
+        spec = spec_from_record(offer.job)
         known = self.borrowed.get(spec.id)
         if known is not None:
             if offer.epoch < known.epoch:
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -32,9 +32,9 @@
 from peathall.cluster.state import ClusterState
 from peathall.jobs.background import BackgroundTasks
 from peathall.leadership.lease import first_attempt
+from peathall.protocol.jobs import spec_to_record
 from peathall.store.client import ConflictError, Drop, Item, Put, StoreError
 from peathall.store.writer import Writer
-from peathall.wire import names
 
 log = logging.getLogger("peathall.cells")
 
@@ -174,7 +174,7 @@
         job = handoff.job
         if not await self._store(handoff, HandoffRecord(handoff.epoch, cell.name, handoff.phase)):
             return "the offer could not be stored"
-        spec = names.spec_to_record(job.spec)
+        spec = spec_to_record(job.spec)
         try:
             answer = await cell.offer(
                 Offer(self.name, cell.name, self.cluster.term, handoff.epoch, spec)
--- a/peathall/cells/room.py
+++ b/peathall/cells/room.py
@@ -8,7 +8,7 @@
 from peathall import constants
 from peathall.cells.model import RoomRow
 from peathall.placement.views import MachineView, allowed, fits_in
-from peathall.wire.names import JobSpec
+from peathall.protocol.jobs import JobSpec
 
 
 def summarize(machines: Iterable[MachineView]) -> list[RoomRow]:
--- a/peathall/cells/service.py
+++ b/peathall/cells/service.py
@@ -42,10 +42,10 @@
 from peathall.modes import Mode
 from peathall.placement.limits import TeamLimits
 from peathall.placement.views import JobView, MachineView, Plan
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import Params
 from peathall.store.client import Item, Put, StateClient
 from peathall.store.writer import Writer
-from peathall.wire.names import JobSpec
 
 log = logging.getLogger("peathall.cells")
 
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -18,8 +18,8 @@
 from peathall.cells.room import fits_whole
 from peathall.placement.room import free_in
 from peathall.placement.views import JobView, MachineView, allowed
+from peathall.protocol.jobs import JobSpec, Priority
 from peathall.settings import Objective
-from peathall.wire.names import JobSpec, Priority
 
 
 @dataclass(slots=True)
--- a/peathall/cluster/job.py
+++ b/peathall/cluster/job.py
@@ -7,7 +7,7 @@
 from enum import Enum, auto
 
 from peathall.cluster.ranges import Ranges
-from peathall.wire.names import JobSpec, Standing
+from peathall.protocol.jobs import JobSpec, Standing
 
 
 class JobPhase(Enum):
--- a/peathall/cluster/machine.py
+++ b/peathall/cluster/machine.py
@@ -6,7 +6,8 @@
 from enum import Enum, auto
 
 from peathall.cluster.job import Attempt, AttemptPhase
-from peathall.wire.names import JobSpec, MachineType
+from peathall.protocol.cloud import MachineType
+from peathall.protocol.jobs import JobSpec
 
 
 class MachinePhase(Enum):
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -13,7 +13,8 @@
 from peathall import constants
 from peathall.cluster.job import Attempt, AttemptPhase, Job
 from peathall.cluster.machine import Machine, MachinePhase
-from peathall.wire.names import JobSpec, MachineType, Standing
+from peathall.protocol.cloud import MachineType
+from peathall.protocol.jobs import JobSpec, Standing
 
 log = logging.getLogger("peathall.cluster")
 
--- a/peathall/fleet/account.py
+++ b/peathall/fleet/account.py
@@ -6,7 +6,7 @@
 
 from peathall.cluster.job import AttemptPhase
 from peathall.cluster.machine import Machine, MachinePhase
-from peathall.wire.names import MachineType
+from peathall.protocol.cloud import MachineType
 
 
 def share_in_use(machine: Machine) -> dict[str, float]:
--- a/peathall/fleet/client.py
+++ b/peathall/fleet/client.py
@@ -10,10 +10,15 @@
 from peathall import constants
 from peathall.fleet.actions import CloudError, NoCapacityError, Rental
 from peathall.http.client import HttpClient, NoAnswerError
+from peathall.protocol import codec
+from peathall.protocol.cloud import (
+    ListedMachine,
+    MachineType,
+    listed_from_wire,
+    machine_type_from_wire,
+)
 from peathall.settings import CloudSettings
 from peathall.store.budget import Budget
-from peathall.wire import body, names
-from peathall.wire.names import ListedMachine, MachineType
 
 
 class CloudClient:
@@ -29,10 +34,10 @@
     async def _ask(self, method: str, path: str, value: Any = None, keep: float = 0.0) -> Any:
         while (pause := self.budget.wait(1, self.loop.time(), keep)) > 0:
             await asyncio.sleep(pause)
-        data = b"" if value is None else body.cbor_bytes(value)
+        data = b"" if value is None else codec.cbor_bytes(value)
         try:
             status, raw = await self.http.request(method, path, data, constants.CLOUD_TIMEOUT_S)
-            answer = body.cbor_any(raw)
+            answer = codec.cbor_any(raw)
         except NoAnswerError as exc:
             raise CloudError(str(exc), exc.sent) from None
         except Exception as exc:
@@ -46,7 +51,7 @@
     async def types(self) -> list[MachineType]:
         """All machine types, with their prices as they are now."""
         answer = await self._ask("GET", "/machine_types")
-        return [names.machine_type_from_wire(x) for x in answer["builds"]]
+        return [machine_type_from_wire(x) for x in answer["builds"]]
 
     async def machines(self) -> list[ListedMachine]:
         """The whole machine list, page by page."""
@@ -58,7 +63,7 @@
             )
             # The first page waits as all calls do, or a busy cloud would never be looked at.
             raw = await self._ask("GET", path, keep=constants.LIST_KEEP if after else 0.0)
-            page = [names.listed_from_wire(x) for x in raw["halls"]]
+            page = [listed_from_wire(x) for x in raw["halls"]]
             found += page
             if not raw.get("more") or not page:
                 return found
--- a/peathall/fleet/planner.py
+++ b/peathall/fleet/planner.py
@@ -8,7 +8,8 @@
 
 from peathall.cluster.machine import Machine
 from peathall.placement.views import EPS, JobView, fits_in
-from peathall.wire.names import JobSpec, MachineType
+from peathall.protocol.cloud import MachineType
+from peathall.protocol.jobs import JobSpec
 
 
 class Offer(Struct, frozen=True):
--- a/peathall/fleet/returns.py
+++ b/peathall/fleet/returns.py
@@ -12,8 +12,8 @@
 from peathall.cluster.state import ClusterState
 from peathall.fleet.boots import BootTimes
 from peathall.fleet.planner import offer_of, suits
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import Params
-from peathall.wire.names import JobSpec
 from peathall.workers.health import MachineHealth
 
 log = logging.getLogger("peathall.fleet")
--- a/peathall/fleet/service.py
+++ b/peathall/fleet/service.py
@@ -19,11 +19,16 @@
 from peathall.fleet.planner import Bin, Offer, all_offers, offer_of, plan_rentals
 from peathall.fleet.returns import Returns, Shortage
 from peathall.placement.views import JobView, Plan
+from peathall.protocol import codec
+from peathall.protocol.cloud import (
+    ListedMachine,
+    MachineType,
+    machine_type_from_wire,
+    machine_type_to_wire,
+)
 from peathall.settings import Params
 from peathall.store.client import Put
 from peathall.store.writer import Writer
-from peathall.wire import body, names
-from peathall.wire.names import ListedMachine, MachineType
 from peathall.workers.service import Workers
 
 log = logging.getLogger("peathall.fleet")
@@ -81,7 +86,7 @@
     # --- machine types -------------------------------------------------------
     def load_types(self, value: Any) -> None:
         """After a take-over: the types as they were last stored."""
-        self.set_types([names.machine_type_from_wire(x) for x in value["builds"]])
+        self.set_types([machine_type_from_wire(x) for x in value["builds"]])
 
     def set_types(self, types: list[MachineType]) -> None:
         """The machine types as the cloud, or the record of them, describes them."""
@@ -99,8 +104,8 @@
             self.set_types(types)
             # Kept in the store, so that a leader that starts during an outage of
             # the cloud can still judge jobs and place them.
-            value = {"builds": [names.machine_type_to_wire(t) for t in types]}
-            if body.json_size(value) < self.writer.value_limit:
+            value = {"builds": [machine_type_to_wire(t) for t in types]}
+            if codec.json_size(value) < self.writer.value_limit:
                 self.writer.submit([Put(TYPES, value)])
         if not known:
             self.on_change()
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -15,11 +15,11 @@
 from peathall.cluster.state import ClusterState
 from peathall.jobs import records
 from peathall.jobs.background import BackgroundTasks
+from peathall.protocol.codec import json_size
+from peathall.protocol.jobs import spec_to_record
 from peathall.store.client import Drop, Put, StateClient, StoreError
 from peathall.store.shared_records import SharedRecordWriter
 from peathall.store.writer import Change, Offers, Writer
-from peathall.wire import names
-from peathall.wire.body import json_size
 
 log = logging.getLogger("peathall.jobs")
 
@@ -86,7 +86,7 @@
             return
         self.dividing.add(record_key)
         limit = self.writer.value_limit - json_size({"jobs": []})
-        sizes = [json_size(names.spec_to_record(job.spec)) + 1 for job in here]
+        sizes = [json_size(spec_to_record(job.spec)) + 1 for job in here]
         # One that no record can hold any more stays where it is until it is over.
         room = limit - sum(size for size in sizes if size > limit)
         moving = []
@@ -99,7 +99,7 @@
 
     async def _move(self, record_key: str, jobs: list[Job]) -> None:
         try:
-            entries = [self.new_jobs.add(names.spec_to_record(job.spec)) for job in jobs]
+            entries = [self.new_jobs.add(spec_to_record(job.spec)) for job in jobs]
             for job, stored in zip(jobs, entries, strict=True):
                 key = await stored
                 del self.jobs_by_record[record_key][job.spec.id]
@@ -114,10 +114,7 @@
         """A record without the jobs that have their record_key elsewhere."""
         if key in self.archiving:
             return None  # written without them anyway; offered again once that is done
-        rest = [
-            names.spec_to_record(self.cluster.jobs[i].spec)
-            for i in self.jobs_by_record.get(key, ())
-        ]
+        rest = [spec_to_record(self.cluster.jobs[i].spec) for i in self.jobs_by_record.get(key, ())]
         if rest and json_size({"jobs": rest}) > self.writer.value_limit:
             return None  # offered again when one of them is archived
         change = Change({}, [Put(key, {"jobs": rest}) if rest else Drop(key)])
@@ -156,7 +153,7 @@
             over.append(job)
         if not over:
             return None
-        rest = [names.spec_to_record(job.spec) for job in here if job not in over]
+        rest = [spec_to_record(job.spec) for job in here if job not in over]
         if rest and json_size({"jobs": rest}) > self.writer.value_limit:
             self._divide(record_key, here)
             return None  # looked after again once what is left of the record fits
--- a/peathall/jobs/fallback.py
+++ b/peathall/jobs/fallback.py
@@ -13,10 +13,10 @@
 from peathall.jobs import records
 from peathall.jobs.live import Live
 from peathall.jobs.service import NOT_NOW, Answer, can_never_run
+from peathall.protocol.cloud import MachineType
+from peathall.protocol.jobs import JobSpec, Standing, job_status, spec_to_record
 from peathall.settings import Params
 from peathall.store.client import ConflictError, Put, StateClient
-from peathall.wire import names
-from peathall.wire.names import JobSpec, MachineType, Standing
 
 
 class Fallback:
@@ -54,7 +54,7 @@
             end = self.live.ends.get(job_id)
             if end is not None:
                 return self._learn(job_id, final(job_id, end))
-            return 200, names.job_status(job_id, Standing.QUEUED)
+            return 200, job_status(job_id, Standing.QUEUED)
         past = await self.store.get(records.PAST + job_id)
         if past is None:
             borrowed = self.cells and await self.store.get(BORROWED + job_id) is not None
@@ -76,9 +76,9 @@
                 absent = [records.JOB, records.PAST, *([BORROWED] if self.cells else [])]
                 await self.store.commit(
                     {key + spec.id: 0 for key in absent},
-                    [Put(records.JOB + spec.id, names.spec_to_record(spec))],
+                    [Put(records.JOB + spec.id, spec_to_record(spec))],
                 )
-                return 201, names.job_status(spec.id, Standing.QUEUED)
+                return 201, job_status(spec.id, Standing.QUEUED)
             except ConflictError:
                 await self.live.refresh()  # accepted before, perhaps over already
         return await self._known(spec.id) or NOT_NOW
@@ -86,4 +86,4 @@
 
 def final(job_id: str, end: records.FinalRecord) -> Answer:
     """The answer for a job that is over."""
-    return 200, names.job_status(job_id, end.standing, end.done)
+    return 200, job_status(job_id, end.standing, end.done)
--- a/peathall/jobs/records.py
+++ b/peathall/jobs/records.py
@@ -21,7 +21,7 @@
 
 from peathall import constants
 from peathall.cluster.ranges import Ranges
-from peathall.wire.names import Standing
+from peathall.protocol.jobs import Standing
 
 LIVE = "live/"
 JOB = "live/job/"
--- a/peathall/jobs/service.py
+++ b/peathall/jobs/service.py
@@ -14,6 +14,8 @@
 from peathall.jobs.archive import JobArchive
 from peathall.jobs.background import BackgroundTasks
 from peathall.jobs.remote import NothingRemote, RemoteRuns
+from peathall.protocol.cloud import MachineType
+from peathall.protocol.jobs import JobSpec, Standing, job_status, spec_from_record, spec_to_record
 from peathall.settings import Params
 from peathall.store.client import Change as StoreChange
 from peathall.store.client import (
@@ -26,8 +28,6 @@
 )
 from peathall.store.shared_records import SharedRecordWriter
 from peathall.store.writer import Change, Offers, Writer
-from peathall.wire import names
-from peathall.wire.names import JobSpec, MachineType, Standing
 
 log = logging.getLogger("peathall.jobs")
 
@@ -143,7 +143,7 @@
 
     def adopt(self, record: dict[str, Any], record_key: str) -> Job:
         """A job that stands in the store, whoever wrote it there."""
-        spec = names.spec_from_record(record)
+        spec = spec_from_record(record)
         job = self.cluster.jobs.get(spec.id)
         if job is None:
             now = asyncio.get_running_loop().time()
@@ -188,7 +188,7 @@
             # Whatever a repetition carries, a job that was accepted stays so: also one that
             # only the store knows of.
             return await self._read(spec.id) or (422, {"error": why})
-        record = names.spec_to_record(spec)
+        record = spec_to_record(spec)
         # Neither archived, nor accepted by another controller.
         absent = {records.PAST + spec.id: 0, records.JOB + spec.id: 0}
         absent |= self.remote.accept_conditions(spec.id)
@@ -202,7 +202,7 @@
         finally:
             self.accepting.pop(spec.id, None)
         self.adopt(record, record_key)
-        return 201, names.job_status(spec.id, Standing.QUEUED)
+        return 201, job_status(spec.id, Standing.QUEUED)
 
     def knows(self, job_id: str) -> bool:
         """Whether a user of this cell has submitted a job of that name, as far as memory tells."""
@@ -224,7 +224,7 @@
             return 200, self.status(job)
         standing = self.cluster.past.get(job_id)
         if standing is not None:
-            return 200, names.job_status(job_id, standing)
+            return 200, job_status(job_id, standing)
         return None
 
     async def _read(self, job_id: str) -> Answer | None:
@@ -238,7 +238,7 @@
             return None
         final = records.read_final(past.value)
         self.cluster.remember(job_id, final.standing)
-        return 200, names.job_status(job_id, final.standing, final.done)
+        return 200, job_status(job_id, final.standing, final.done)
 
     async def query(self, job_id: str) -> Answer:
         """A poll for a job that memory alone can't answer."""
@@ -254,7 +254,7 @@
         """The job's state as told to its user."""
         done = job.spec.tasks if job.phase is JobPhase.DONE else len(job.stored)
         running = job.running if job.phase is JobPhase.ACTIVE else 0
-        return names.job_status(job.spec.id, job.standing, done, running)
+        return job_status(job.spec.id, job.standing, done, running)
 
     async def cancel(self, job_id: str) -> Answer:
         """A cancellation; answered once it is stored."""
--- a/peathall/leader.py
+++ b/peathall/leader.py
@@ -22,10 +22,11 @@
 from peathall.placement.rounds import ROUND
 from peathall.placement.service import Placement
 from peathall.placement.views import Plan
+from peathall.protocol.heartbeats import Report
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import Operator, Settings
 from peathall.store.client import StateClient, StoreError
 from peathall.store.writer import Writer, WriterPhase
-from peathall.wire.names import JobSpec, Report
 from peathall.workers.caches import CACHE, Caches
 from peathall.workers.service import Workers
 from peathall.workers.suspects import SUSPECTS, Suspects
--- a/peathall/node.py
+++ b/peathall/node.py
@@ -29,10 +29,12 @@
 from peathall.leadership.election import Election, Mandate
 from peathall.modes import Mode
 from peathall.peers.service import Peers
+from peathall.protocol import codec
+from peathall.protocol.cloud import machine_type_from_wire
+from peathall.protocol.heartbeats import report_from_wire, task_reports
+from peathall.protocol.jobs import JobSpec, job_from_wire, spec_from_record, spec_to_record
 from peathall.settings import Operator, Settings, split_addr
 from peathall.store.client import StateClient, StoreError
-from peathall.wire import body, names
-from peathall.wire.names import JobSpec
 
 if TYPE_CHECKING:
     from peathall.duties.service import Duties
@@ -199,7 +201,7 @@
             try:
                 item = await self.store.get(TYPES)
                 if item is not None:
-                    types = [names.machine_type_from_wire(x) for x in item.value["builds"]]
+                    types = [machine_type_from_wire(x) for x in item.value["builds"]]
                     self.fallback.types = {t.name: t for t in types}
             except StoreError as exc:
                 log.debug("reading machine types: %s", exc)
@@ -209,7 +211,7 @@
     async def _forget_task_reports() -> None:
         while True:
             await asyncio.sleep(constants.TASK_REPORTS_S)
-            names.task_reports.begin_generation()
+            task_reports.begin_generation()
 
     # --- the way of a request ------------------------------------------------
     async def _serve(self, request: Request) -> Response:
@@ -222,12 +224,12 @@
             return await self._submit(request) if method == "POST" else Response(405)
         match = JOB_PATH.match(path)
         if match is None:
-            return body.cbor_response(404, {"error": "no such path"})
+            return codec.cbor_response(404, {"error": "no such path"})
         job_id, withdraw = match.groups()
         if method != ("POST" if withdraw else "GET"):
             return Response(405)
         if not JOB_ID.match(job_id):
-            return body.cbor_response(404, {"error": "no such job"})
+            return codec.cbor_response(404, {"error": "no such job"})
         op = "cancel" if withdraw else "query"
         if not await self.turns.turn(Rank.CHANGE if withdraw else Rank.QUERY):
             return self._user(NOT_NOW)
@@ -266,36 +268,36 @@
 
     async def _answer_checkin(self, request: Request) -> Response:
         if not await self.turns.turn(Rank.CHECKIN):
-            return body.cbor_response(503, {"error": "too late"})
+            return codec.cbor_response(503, {"error": "too late"})
         try:
-            report = names.report_from_wire(body.cbor_map(request.body))
-        except body.MalformedError as exc:
-            return body.cbor_response(400, {"error": str(exc)})
+            report = report_from_wire(codec.cbor_map(request.body))
+        except codec.MalformedError as exc:
+            return codec.cbor_response(400, {"error": str(exc)})
         if self.leader is not None:
             status, answer = await self.leader.checkin(report)
             if status == 200:
-                return body.cbor_response(200, answer)
-            return body.cbor_response(503, {"error": "not entitled now"})
+                return codec.cbor_response(200, answer)
+            return codec.cbor_response(503, {"error": "not entitled now"})
         self.peers.note_turned_away(report.machine, (report.session, report.seq), self.loop.time())
         steward = self._steward()
         if steward is None:
-            return body.cbor_response(421, {"error": "no leader"})
-        return body.cbor_response(421, {"steward": steward})
+            return codec.cbor_response(421, {"error": "no leader"})
+        return codec.cbor_response(421, {"steward": steward})
 
     async def _submit(self, request: Request) -> Response:
         if not await self.turns.turn(Rank.CHANGE):
             return self._user(NOT_NOW)
         raw: dict[str, Any] = {}
         try:
-            raw = body.cbor_map(request.body)
-            spec = names.job_from_wire(raw, self.wall())
-            record = names.spec_to_record(spec)
+            raw = codec.cbor_map(request.body)
+            spec = job_from_wire(raw, self.wall())
+            record = spec_to_record(spec)
             if (
-                body.json_size(record)
+                codec.json_size(record)
                 > self.settings.params.state.value_kb * 1024 * constants.VALUE_FILL
             ):
-                raise body.MalformedError("too large to be kept")
-        except body.MalformedError as exc:
+                raise codec.MalformedError("too large to be kept")
+        except codec.MalformedError as exc:
             return self._user(await self._malformed(raw.get("id"), str(exc)))
         return self._user(await self._ask({"op": "accept", "job": record}, spec))
 
@@ -331,7 +333,7 @@
     async def _local(self, leader: Leader, message: dict[str, Any], spec: JobSpec | None) -> Answer:
         op = message["op"]
         if op == "accept":
-            return await leader.accept(spec or names.spec_from_record(message["job"]))
+            return await leader.accept(spec or spec_from_record(message["job"]))
         if op == "query":
             return await leader.query(message["id"])
         return await leader.cancel(message["id"])
@@ -364,4 +366,4 @@
     """An answer for a user as an HTTP response."""
     status, value = answer
     retry = constants.RETRY_AFTER_S if status in (429, 503, 504) else None
-    return body.cbor_response(status, value if value is not None else {}, retry)
+    return codec.cbor_response(status, value if value is not None else {}, retry)
--- a/peathall/placement/bookings.py
+++ b/peathall/placement/bookings.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from peathall.cluster.job import Job
-from peathall.wire.names import JobSpec
+from peathall.protocol.jobs import JobSpec
 
 
 @dataclass(frozen=True, slots=True)
--- a/peathall/placement/limits.py
+++ b/peathall/placement/limits.py
@@ -5,8 +5,8 @@
 from collections.abc import Mapping, Sequence
 
 from peathall.placement.views import EPS
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import Team
-from peathall.wire.names import JobSpec
 
 
 class TeamLimits:
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -13,8 +13,8 @@
 
 from peathall import constants
 from peathall.placement.views import JobView, MachineView
+from peathall.protocol.jobs import JobSpec, Priority
 from peathall.settings import Objective
-from peathall.wire.names import JobSpec, Priority
 
 
 def rank(machine: MachineView, spec: JobSpec, keep_ordinary: bool, seed: int) -> tuple[float, ...]:
--- a/peathall/placement/planner.py
+++ b/peathall/placement/planner.py
@@ -10,8 +10,8 @@
 from peathall.placement.preemption import Preemption, TeamWorkLookup
 from peathall.placement.room import choose
 from peathall.placement.views import JobView, MachineView, Move, Plan, Start, TeamWork
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import Team
-from peathall.wire.names import JobSpec
 
 
 class Round:
--- a/peathall/placement/pool.py
+++ b/peathall/placement/pool.py
@@ -7,7 +7,7 @@
 
 from peathall.placement.ordering import rank
 from peathall.placement.views import EPS, Group, JobView, MachineView, allowed, fits_in
-from peathall.wire.names import JobSpec
+from peathall.protocol.jobs import JobSpec
 
 
 class MachinePool:
--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -10,7 +10,7 @@
 from peathall.placement.pool import MachinePool
 from peathall.placement.room import MachineRoom, free_in, room_with_victims
 from peathall.placement.views import EPS, JobView, MachineView, Plan, TeamWork, Victim
-from peathall.wire.names import JobSpec
+from peathall.protocol.jobs import JobSpec
 
 # Of a team, what has a lower priority than the one given.
 TeamWorkLookup = Callable[[str, int], TeamWork]
--- a/peathall/placement/room.py
+++ b/peathall/placement/room.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, replace
 
 from peathall.placement.views import MachineView, Victim, fits_in
-from peathall.wire.names import JobSpec
+from peathall.protocol.jobs import JobSpec
 
 
 @dataclass(frozen=True, slots=True)
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -24,9 +24,9 @@
 from peathall.cluster.ranges import Ranges
 from peathall.cluster.state import ClusterState
 from peathall.placement.views import Start
+from peathall.protocol.codec import json_size
 from peathall.store.client import Item, Put
 from peathall.store.writer import Change, Offers, Writer
-from peathall.wire.body import json_size
 
 ROUND = "round/"
 
--- a/peathall/placement/service.py
+++ b/peathall/placement/service.py
@@ -18,10 +18,10 @@
 from peathall.placement.rounds import Piece, RoundRecords, joined_by_gangs
 from peathall.placement.snapshot import Snapshot
 from peathall.placement.views import MachineView, Move, Plan, Start
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import Params
 from peathall.store.client import StoreError
 from peathall.store.writer import Offers, Writer
-from peathall.wire.names import JobSpec
 from peathall.workers.service import Workers
 
 log = logging.getLogger("peathall.placement")
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -18,8 +18,8 @@
     TeamWork,
     Victim,
 )
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import Params
-from peathall.wire.names import JobSpec
 from peathall.workers.service import Workers
 
 
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from peathall import constants
-from peathall.wire.names import JobSpec
+from peathall.protocol.jobs import JobSpec
 
 EPS = 1e-6  # of a CPU, GPU or GB; sums of decimal numbers are not exact
 
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -11,9 +11,9 @@
 
 from peathall import constants
 from peathall.http.client import HttpClient, NoAnswerError
+from peathall.protocol import codec
 from peathall.settings import StateSettings
 from peathall.store.budget import Budget
-from peathall.wire import body
 
 
 class StoreError(Exception):
@@ -172,7 +172,7 @@
         timeout: float = constants.STORE_TIMEOUT_S,
         http: HttpClient | None = None,
     ) -> tuple[int, Any]:
-        data = b"" if value is None else body.cbor_bytes(value)
+        data = b"" if value is None else codec.cbor_bytes(value)
         try:
             status, raw = await (http or self.http).request(method, path, data, timeout)
         except NoAnswerError as exc:
@@ -187,7 +187,7 @@
         self.last_good = self.loop.time()
         self.failing = False
         try:
-            return status, body.cbor_any(raw)
+            return status, codec.cbor_any(raw)
         except Exception as exc:
             raise StoreDoubtError(f"garbled answer: {exc}") from None
 
--- a/peathall/store/shared_records.py
+++ b/peathall/store/shared_records.py
@@ -5,9 +5,9 @@
 import asyncio
 from typing import Any
 
+from peathall.protocol.codec import json_size
 from peathall.store.client import ConflictError, Put
 from peathall.store.writer import Change, DeposedError, Writer, WriterPhase
-from peathall.wire.body import json_size
 
 
 class SharedRecordWriter:
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -20,6 +20,7 @@
 from typing import Any, Protocol
 
 from peathall import constants
+from peathall.protocol.codec import json_size
 from peathall.settings import StateSettings
 from peathall.store.client import (
     ConflictError,
@@ -32,7 +33,6 @@
     StoreDoubtError,
     StoreError,
 )
-from peathall.wire.body import json_size
 
 log = logging.getLogger("peathall.store")
 
--- a/peathall/workers/caches.py
+++ b/peathall/workers/caches.py
@@ -12,9 +12,9 @@
 from peathall import constants
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
+from peathall.protocol.codec import json_size
 from peathall.store.client import Drop, Item, Put
 from peathall.store.writer import Change, Writer
-from peathall.wire.body import json_size
 
 CACHE = "cache/"
 
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -11,9 +11,9 @@
 from peathall import constants
 from peathall.cluster.machine import Machine
 from peathall.http.client import HttpClient, NoAnswerError
+from peathall.protocol import codec
+from peathall.protocol.heartbeats import Report, report_from_wire
 from peathall.store.budget import Budget
-from peathall.wire import body, names
-from peathall.wire.names import Report
 
 log = logging.getLogger("peathall.workers")
 
@@ -59,7 +59,7 @@
             await asyncio.sleep(0)  # whatever is decided in this turn goes out together
             async with self._turn:
                 await self._deliver_now(machine)
-        except (NoAnswerError, body.MalformedError) as exc:
+        except (NoAnswerError, codec.MalformedError) as exc:
             log.info("direct orders to %s: %s", machine.name, exc)
         finally:
             del self.under_way[machine.name]
@@ -69,12 +69,12 @@
         if message is None or not self.may_act():
             return
         status, raw = await self._client(machine.addr).request(
-            "POST", "/commands", body.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
+            "POST", "/commands", codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
         )
         if status != 200:
             log.info("direct orders to %s refused: %d", machine.name, status)
         elif self.may_act():
-            self.source.direct_answer(machine, names.report_from_wire(body.cbor_map(raw)))
+            self.source.direct_answer(machine, report_from_wire(codec.cbor_map(raw)))
 
     def _client(self, addr: str) -> HttpClient:
         """A connection to a worker; of the unused ones the oldest are closed, so that
--- a/peathall/workers/service.py
+++ b/peathall/workers/service.py
@@ -13,9 +13,18 @@
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.leadership.lease import token
+from peathall.protocol.heartbeats import (
+    Report,
+    TaskReport,
+    TaskState,
+    Why,
+    checkin_answer,
+    direct_orders,
+    forget_order,
+    start_order,
+    stop_order,
+)
 from peathall.settings import WorkerSettings
-from peathall.wire import names
-from peathall.wire.names import Report, TaskReport, TaskState, Why
 from peathall.workers.delivery import DirectDelivery
 from peathall.workers.events import WorkerListener
 from peathall.workers.exits import ExitedAttempt, ExitedAttempts, ExitKey
@@ -114,7 +123,7 @@
         # A check-in overtaken by a direct answer is still answered, but tells nothing.
         machine.last_answer = now
         machine.answered = (self.token, now)
-        return 200, names.checkin_answer(self.token, self._orders(machine, now, direct=False))
+        return 200, checkin_answer(self.token, self._orders(machine, now, direct=False))
 
     def _apply(self, machine: Machine, report: Report, now: float, conclusive: bool) -> None:
         """Learn what a newer report says; only a `conclusive` one proves absence."""
@@ -339,7 +348,7 @@
         if not direct:
             orders += self._forget_orders(machine, constants.MACHINE_TASKS - len(orders))
             unknown = self.unknown_tasks.get(machine.name, ())
-            orders += [names.stop_order(*task, 0.0) for task in unknown]
+            orders += [stop_order(*task, 0.0) for task in unknown]
         return orders
 
     def _attempt_orders(self, machine: Machine, now: float, direct: bool) -> list[dict[str, Any]]:
@@ -355,9 +364,9 @@
             if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.GONE):
                 continue
             if attempt.stopping:
-                orders.append(names.stop_order(job_id, task, attempt.number, attempt.grace))
+                orders.append(stop_order(job_id, task, attempt.number, attempt.grace))
             elif usable and self._may_start(attempt):
-                orders.append(names.start_order(job_id, task, attempt.number))
+                orders.append(start_order(job_id, task, attempt.number))
                 attempt.enter(AttemptPhase.SENT, now)
                 attempt.session = machine.session
                 if direct:
@@ -376,12 +385,12 @@
         """For ended attempts that their machine need not report any more."""
         # Under our own token, the next tick raises it.
         known = islice(self.exits.forgettable(machine.name, self.token), max(0, most))
-        return [names.forget_order(x.job, x.task, x.number) for x in known]
+        return [forget_order(x.job, x.task, x.number) for x in known]
 
     def direct_message(self, machine: Machine) -> dict[str, Any] | None:
         """The orders that are due now, or None."""
         orders = self._orders(machine, self.loop.time(), direct=True)
-        return names.direct_orders(self.token, machine.session, orders) if orders else None
+        return direct_orders(self.token, machine.session, orders) if orders else None
 
     def direct_answer(self, machine: Machine, report: Report) -> None:
         """What the machine reports after direct orders, unless a later report came first."""
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -10,10 +10,10 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.fleet.service import list_gap_s
+from peathall.protocol.decode_cache import RecentlyRead
 from peathall.settings import StateSettings
 from peathall.store.client import Put
 from peathall.store.writer import Writer
-from peathall.wire.recent import RecentlyRead
 from peathall.workers.caches import Caches
 from tests.sim.fleet_day import FleetPlayer
 from tests.sim.test_days import virtual
--- a/tests/unit/test_fleet.py
+++ b/tests/unit/test_fleet.py
@@ -10,7 +10,7 @@
 from peathall.fleet.actions import CloudError, Rental
 from peathall.fleet.service import Fleet
 from peathall.placement.views import JobView
-from peathall.wire.names import ListedMachine
+from peathall.protocol.cloud import ListedMachine
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_fleet, new_workers, report
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -11,7 +11,7 @@
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.placement.ordering import gathering_s, order
 from peathall.placement.views import JobView, Plan, Start
-from peathall.wire.names import MachineType
+from peathall.protocol.cloud import MachineType
 from tests.unit.test_planner import spec
 from tests.unit.test_workers import new_placement, new_workers
 
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -18,8 +18,9 @@
     TeamWork,
     Victim,
 )
+from peathall.protocol.cloud import MachineType
+from peathall.protocol.jobs import JobSpec
 from peathall.settings import Objective, Team
-from peathall.wire.names import JobSpec, MachineType
 
 
 def spec(**changes: object) -> JobSpec:
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -14,10 +14,10 @@
 from peathall.leadership.lease import first_attempt
 from peathall.placement.rounds import ROUND, RoundRecords, from_record
 from peathall.placement.views import Plan, Start
+from peathall.protocol.codec import json_size
 from peathall.settings import StateSettings
 from peathall.store.client import InvalidError, Item
 from peathall.store.writer import Writer
-from peathall.wire.body import json_size
 from peathall.workers.service import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_store import FakeStore, lead
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -12,6 +12,7 @@
 from peathall.jobs.records import DONE, block_tasks, done_key, done_record, to_value
 from peathall.leadership.lease import LeadLease, first_attempt, token
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
+from peathall.protocol.codec import json_size
 from peathall.settings import StateSettings
 from peathall.store.budget import Budget
 from peathall.store.client import Change as StoreChange
@@ -26,7 +27,6 @@
 )
 from peathall.store.shared_records import SharedRecordWriter
 from peathall.store.writer import Change, DeposedError, LeadRecord, Writer
-from peathall.wire.body import json_size
 
 
 class FakeStore:
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -19,11 +19,12 @@
 from peathall.peers.service import Peers
 from peathall.placement.service import Placement
 from peathall.placement.views import MachineView
+from peathall.protocol.cloud import MachineType
+from peathall.protocol.codec import json_size
+from peathall.protocol.heartbeats import Report, TaskReport, TaskState, Why, report_from_wire
 from peathall.settings import CloudSettings, Params, Peer, StateSettings, Team, WorkerSettings
 from peathall.store.client import Item
 from peathall.store.writer import Writer
-from peathall.wire.body import json_size
-from peathall.wire.names import MachineType, Report, TaskReport, TaskState, Why, report_from_wire
 from peathall.workers.caches import Caches
 from peathall.workers.events import IgnoredEvents
 from peathall.workers.service import Workers
