--- a/peathall/autoscaling/autoscaler.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -23,9 +23,10 @@
 from peathall.protocol import codec
 from peathall.protocol.cloud import (
     ListedMachine,
+    MachineState,
     MachineType,
-    machine_type_from_wire,
-    machine_type_to_wire,
+    decode_machine_types,
+    encode_machine_types,
 )
 from peathall.store.client import Put
 from peathall.store.writer import Writer
@@ -86,7 +87,7 @@
     # --- machine types -------------------------------------------------------
     def load_types(self, value: Any) -> None:
         """After a take-over: the types as they were last stored."""
-        self.set_types([machine_type_from_wire(x) for x in value["builds"]])
+        self.set_types(decode_machine_types(value))
 
     def set_types(self, types: list[MachineType]) -> None:
         """The machine types as the cloud, or the record of them, describes them."""
@@ -104,7 +105,7 @@
             self.set_types(types)
             # Kept in the store, so that a leader that starts during an outage of
             # the cloud can still judge jobs and place them.
-            value = {"builds": [machine_type_to_wire(t) for t in types]}
+            value = encode_machine_types(types)
             if codec.json_size(value) < self.writer.value_limit:
                 self.writer.submit([Put(TYPES, value)])
         if not known:
@@ -193,7 +194,7 @@
                 continue
             # One that runs and is new to us came up under an earlier leader: whether it is
             # silent is judged by what it reports from now on, not by its age.
-            up = item.state == "running"
+            up = item.state is MachineState.RUNNING
             machine = self.cluster.machine(
                 item.name,
                 item.type,
@@ -207,7 +208,7 @@
             machine.listed_by_cloud = True
             if not machine.addr:
                 machine.addr = item.addr
-            if item.state == "failed":
+            if item.state is MachineState.FAILED:
                 # It has stopped by itself, and everything on it with it.
                 self.workers.machine_gone(machine, now, "failed")
                 self.failed.append(item.name)
--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -5,7 +5,6 @@
 import asyncio
 from collections.abc import Callable
 from typing import Any
-from urllib.parse import quote
 
 from peathall import constants
 from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
@@ -13,10 +12,18 @@
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
 from peathall.protocol.cloud import (
+    DELETE_MACHINES_PATH,
+    MACHINE_TYPES_PATH,
+    MACHINES_PATH,
     ListedMachine,
     MachineType,
-    listed_from_wire,
-    machine_type_from_wire,
+    decode_machine_page,
+    decode_machine_types,
+    decode_provisioned_machines,
+    encode_deletion,
+    encode_provision_request,
+    is_capacity_error,
+    machine_page_path,
 )
 from peathall.store.token_bucket import TokenBucket
 
@@ -42,7 +49,7 @@
             raise CloudError(str(exc), exc.sent) from None
         except Exception as exc:
             raise CloudError(f"garbled answer: {exc}", True) from None
-        if status == 503 and "capacity" in str((answer or {}).get("error", "")):
+        if status == 503 and is_capacity_error(answer):
             raise NoCapacityError
         if status != 200:
             raise CloudError(f"cloud: {status}", False)
@@ -50,36 +57,29 @@
 
     async def types(self) -> list[MachineType]:
         """All machine types, with their prices as they are now."""
-        answer = await self._ask("GET", "/machine_types")
-        return [machine_type_from_wire(x) for x in answer["builds"]]
+        return decode_machine_types(await self._ask("GET", MACHINE_TYPES_PATH))
 
     async def machines(self) -> list[ListedMachine]:
         """The whole machine list, page by page."""
         found: list[ListedMachine] = []
         after = ""
         while True:
-            path = f"/hosts?most={constants.LIST_PAGE}" + (
-                f"&after={quote(after)}" if after else ""
-            )
+            path = machine_page_path(constants.LIST_PAGE, after)
             # The first page waits as all calls do, or a busy cloud would never be looked at.
             raw = await self._ask("GET", path, keep=constants.LIST_KEEP if after else 0.0)
-            page = [listed_from_wire(x) for x in raw["halls"]]
-            found += page
-            if not raw.get("more") or not page:
+            page = decode_machine_page(raw)
+            found += page.machines
+            if not page.more or not page.machines:
                 return found
-            after = page[-1].name
+            after = page.machines[-1].name
 
     async def provision(self, rental: ProvisionRequest) -> list[str]:
         """Rent machines; a request repeated under its name rents nothing more."""
-        wire = {
-            "hire": rental.request,
-            "build": rental.type,
-            "ward": rental.zone,
-            "standby": rental.spot,
-            "how_many": rental.count,
-        }
-        return [str(x) for x in (await self._ask("POST", "/hosts", wire))["halls"]]
+        wire = encode_provision_request(
+            rental.request, rental.type, rental.zone, rental.spot, rental.count
+        )
+        return decode_provisioned_machines(await self._ask("POST", MACHINES_PATH, wire))
 
     async def delete(self, machines: list[str]) -> None:
         """Delete machines. Once this returns, they and everything on them are gone."""
-        await self._ask("POST", "/hosts/delete", {"halls": machines})
+        await self._ask("POST", DELETE_MACHINES_PATH, encode_deletion(machines))
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -6,7 +6,6 @@
 import gc
 import logging
 import random
-import re
 import time
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING, Any
@@ -32,9 +31,23 @@
 from peathall.operator_config.settings import Operator
 from peathall.peers.service import Peers
 from peathall.protocol import codec
-from peathall.protocol.cloud import machine_type_from_wire
-from peathall.protocol.heartbeats import decode_heartbeat, task_status_cache
-from peathall.protocol.jobs import JobSpec, decode_submission, spec_from_record, spec_to_record
+from peathall.protocol.cloud import decode_machine_types
+from peathall.protocol.errors import encode_error
+from peathall.protocol.fields import JOB_ID
+from peathall.protocol.heartbeats import (
+    HEARTBEAT_PATH,
+    decode_heartbeat,
+    encode_redirect,
+    task_status_cache,
+)
+from peathall.protocol.jobs import (
+    JOB_PATH,
+    SUBMISSION_PATH,
+    JobSpec,
+    decode_submission,
+    spec_from_record,
+    spec_to_record,
+)
 from peathall.store.client import StoreClient, StoreError
 
 if TYPE_CHECKING:
@@ -42,11 +55,9 @@
 
 log = logging.getLogger("peathall.node")
 
-JOB_PATH = re.compile(r"/work/([^/]+)(/withdraw)?\Z")
 DUTY_PATHS = ("/duty", "/duties", "/duties/waiting")
 CELL_PATHS = "/cells"
 CELL_STATUS = "/cells"
-JOB_ID = re.compile(r"j-[0-9]{1,30}\Z")
 
 
 class Controller:
@@ -128,12 +139,12 @@
     async def _relay_to_leader(self, path: str, raw: bytes) -> tuple[int, Any]:
         leader_name = self._known_leader()
         if leader_name is None:
-            return 503, {"error": "nobody leads"}
+            return 503, encode_error("nobody leads")
         try:
             status, answer = await self.peers.send(leader_name, path, raw, constants.FORWARD_S)
             return status, orjson.loads(answer)
         except (NoAnswerError, orjson.JSONDecodeError) as exc:
-            return 503, {"error": str(exc)}
+            return 503, encode_error(str(exc))
 
     async def _serve_duty(self, path: str, raw: bytes) -> tuple[int, Any] | None:
         if self.duties is None or path not in DUTY_PATHS:
@@ -204,7 +215,7 @@
             try:
                 item = await self.store.get(TYPES)
                 if item is not None:
-                    types = [machine_type_from_wire(x) for x in item.value["builds"]]
+                    types = decode_machine_types(item.value)
                     self.follower_service.types = {t.name: t for t in types}
             except StoreError as exc:
                 log.debug("reading machine types: %s", exc)
@@ -219,20 +230,20 @@
     # --- the way of a request ------------------------------------------------
     async def _serve(self, request: Request) -> Response:
         path, method = request.path, request.method
-        if path == "/checkin":
+        if path == HEARTBEAT_PATH:
             return await self._heartbeat(request) if method == "POST" else Response(405)
         if path == "/healthz":
             return self._healthz() if method == "GET" else Response(405)
-        if path == "/work":
+        if path == SUBMISSION_PATH:
             return await self._submit(request) if method == "POST" else Response(405)
         match = JOB_PATH.match(path)
         if match is None:
-            return codec.cbor_response(404, {"error": "no such path"})
+            return codec.cbor_response(404, encode_error("no such path"))
         job_id, withdraw = match.groups()
         if method != ("POST" if withdraw else "GET"):
             return Response(405)
         if not JOB_ID.match(job_id):
-            return codec.cbor_response(404, {"error": "no such job"})
+            return codec.cbor_response(404, encode_error("no such job"))
         op = "cancel" if withdraw else "query"
         if not await self.request_queue.admit(
             RequestClass.WRITE if withdraw else RequestClass.QUERY
@@ -273,23 +284,23 @@
 
     async def _answer_heartbeat(self, request: Request) -> Response:
         if not await self.request_queue.admit(RequestClass.HEARTBEAT):
-            return codec.cbor_response(503, {"error": "too late"})
+            return codec.cbor_response(503, encode_error("too late"))
         try:
             heartbeat = decode_heartbeat(codec.cbor_map(request.body))
         except codec.MalformedError as exc:
-            return codec.cbor_response(400, {"error": str(exc)})
+            return codec.cbor_response(400, encode_error(str(exc)))
         if self.leader is not None:
             status, answer = await self.leader.handle_heartbeat(heartbeat)
             if status == 200:
                 return codec.cbor_response(200, answer)
-            return codec.cbor_response(503, {"error": "not entitled now"})
+            return codec.cbor_response(503, encode_error("not entitled now"))
         self.peers.note_redirected(
             heartbeat.machine, (heartbeat.epoch, heartbeat.sequence), self.loop.time()
         )
         leader_name = self._known_leader()
         if leader_name is None:
-            return codec.cbor_response(421, {"error": "no leader"})
-        return codec.cbor_response(421, {"steward": leader_name})
+            return codec.cbor_response(421, encode_error("no leader"))
+        return codec.cbor_response(421, encode_redirect(leader_name))
 
     async def _submit(self, request: Request) -> Response:
         if not await self.request_queue.admit(RequestClass.WRITE):
@@ -317,7 +328,7 @@
         if known[0] != 404:
             return known
         log.info("malformed submission: %s", why)
-        return 400, {"error": why}
+        return 400, encode_error(why)
 
     async def _ask(self, message: dict[str, Any], spec: JobSpec | None = None) -> JobResponse:
         """The leader here, the leader elsewhere, or else the store itself."""
--- a/peathall/protocol/codec.py
+++ b/peathall/protocol/codec.py
@@ -1,4 +1,5 @@
-"""Bodies: CBOR towards the outside, orjson between our own controllers."""
+"""Encodings of bodies: CBOR for users, workers, the cloud and the state service. JSON, the encoding
+between our own controllers, is needed here only for the sizes that the protocol limits."""
 
 from __future__ import annotations
 
@@ -12,16 +13,17 @@
 
 
 class MalformedError(Exception):
-    """A body is not what the protocol allows."""
+    """A body is not what the protocol allows; the message goes to the sender."""
 
 
 def cbor_map(body: bytes) -> dict[str, Any]:
-    """A request's body; MalformedError unless it is a map with text keys."""
+    """The value of a body that must be a map with text keys; MalformedError if it is not."""
     if not body or len(body) > constants.MAX_BODY:
         raise MalformedError("empty or too large")
     try:
         value = cbor2.loads(body)
-    # A decoder of foreign bytes fails in many ways: recursion, memory, value.
+    # Last line of defence: on bytes from outside the decoder fails in many ways, among them
+    # RecursionError and MemoryError.
     except Exception as exc:
         raise MalformedError(f"not CBOR: {type(exc).__name__}") from None
     if not isinstance(value, dict) or set(map(type, value)) - {str}:
@@ -30,20 +32,20 @@
 
 
 def cbor_any(body: bytes) -> Any:
-    """Whatever the body holds; None if it is empty."""
+    """The value of a body; None if it is empty. Whatever cbor2 raises is passed on."""
     return cbor2.loads(body) if body else None
 
 
 def cbor_bytes(value: Any) -> bytes:
-    """A value as CBOR."""
+    """The CBOR encoding of a value."""
     return cbor2.dumps(value)
 
 
 def cbor_response(status: int, value: Any, retry_after: int | None = None) -> Response:
-    """A response with a CBOR body."""
+    """A response with a CBOR body; `retry_after` in s."""
     return Response(status, cbor2.dumps(value), retry_after=retry_after)
 
 
 def json_size(value: Any) -> int:
-    """Size in the form in which the protocol counts its limits."""
+    """Bytes of a value as JSON, the form in which the protocol counts its limits."""
     return len(orjson.dumps(value))
--- a/peathall/protocol/decode_cache.py
+++ b/peathall/protocol/decode_cache.py
@@ -1,4 +1,4 @@
-"""What was read lately, kept for as long as it is read again."""
+"""A cache of decoded values that keeps what is asked for again."""
 
 from __future__ import annotations
 
@@ -10,32 +10,33 @@
 
 
 class DecodeCache(Generic[Key, Value]):
-    """Results of a reading function in two generations.
+    """Results of a decoding function in two generations.
 
-    What was not asked for during a whole generation is forgotten, so the size follows what is in
-    use: a fixed number of entries, once exceeded by what comes again and again in the same order,
-    would find nothing any more.
+    A result that was not asked for during a whole generation is evicted, so the size follows what
+    is in use. An LRU cache of fixed size would find nothing once more keys than it holds come again
+    and again in the same order, as the tasks of all machines do.
     """
 
-    def __init__(self, read: Callable[[Key], Value]) -> None:
-        self._read = read
+    def __init__(self, decode: Callable[[Key], Value]) -> None:
+        self._decode = decode
         self._current: dict[Key, Value] = {}
         self._previous: dict[Key, Value] = {}
 
     def __call__(self, key: Key) -> Value:
-        """The result for the key, the same object as last time if that was lately."""
+        """The decoded value of the key: the same object as before if the cache still has it.
+        Whatever the decoding function raises is passed on, and not kept."""
         found = self._current.get(key)
         if found is None:
             found = self._previous.get(key)
             if found is None:
-                found = self._read(key)
+                found = self._decode(key)
             self._current[key] = found
         return found
 
     def __len__(self) -> int:
-        """How many results are kept."""
+        """Number of results in both generations."""
         return len(self._current | self._previous)
 
     def begin_generation(self) -> None:
-        """Forget what was not asked for since this was last called."""
+        """Evict what was not asked for since this was last called."""
         self._previous, self._current = self._current, {}
--- a/peathall/protocol/jobs.py
+++ b/peathall/protocol/jobs.py
@@ -1,14 +1,36 @@
-"""Jobs on the wire and as stored: submissions, descriptions and states.
-
-protocol -> here: docket class_name, desk team, shape gang/array/daemon, precedence priority,
-parcels tasks, vcpus/cards/ram_gb cpus/gpus/ram, kit image, builds types, ward zone,
-together one_zone, scatter spread, standby spot, reckon_s/tally_s/stow_s/due_s
-estimate_s/checkpoint_s/save_s/deadline_s, standing status.
+"""Jobs: submissions, their records, and answers about their status.
+
+===============  ==================================================
+protocol         here
+===============  ==================================================
+work             jobs, in paths
+withdraw         cancel, in paths
+docket           class_name
+desk             team
+shape            gang (`ensemble`), array (`sweep`), daemon
+precedence       priority, see `Priority`
+parcels          tasks, their number
+vcpus            cpus
+cards            gpus
+ram_gb           ram
+kit              image
+builds           types, of machines
+ward             zone
+together         one_zone
+scatter          spread
+standby          spot
+reckon_s         estimate_s
+tally_s          checkpoint_s
+stow_s           save_s
+due_s            deadline_s
+standing         status, see `JobStatus`
+===============  ==================================================
 """
 
 from __future__ import annotations
 
 import math
+import re
 from enum import Enum, IntEnum
 from typing import Annotated, Any, Literal
 
@@ -18,9 +40,12 @@
 from peathall.protocol.codec import MalformedError
 from peathall.protocol.fields import Amount, JobId, Text
 
+SUBMISSION_PATH = "/work"
+JOB_PATH = re.compile(r"/work/([^/]+)(/withdraw)?\Z")  # groups: job id; set for a cancellation
+
 
 class Priority(IntEnum):
-    """Of a job; less comes first."""
+    """Priority of a job: the lower value is placed first. The names are the protocol's words."""
 
     CRITICAL = 0
     HIGH = 1
@@ -29,16 +54,17 @@
 
 
 class JobStatus(Enum):
-    """Of a job, as its user is told."""
+    """Status of a job, as its user is told; the values are the protocol's words."""
 
-    QUEUED = "queued"
+    QUEUED = "queued"  # no task runs
     RUNNING = "running"
     DONE = "done"
     CANCELLED = "aborted"
 
 
 class WireJob(Struct):
-    """A submission as the protocol writes it."""
+    """The body of a submission, with the protocol's field names and bounds; what is not named here
+    is ignored."""
 
     id: JobId
     docket: Text
@@ -63,39 +89,41 @@
 
 
 class JobSpec(Struct, frozen=True):
-    """A job as its user described it; also its record in the state service."""
+    """A job as its user described it. Its field names are also those of its record in the state
+    service: a new name needs the old one as its encoded name."""
 
     id: str
     class_name: str
     team: str
     gang: bool
     priority: int
-    tasks: int
+    tasks: int  # their number
     cpus: float
     gpus: float
-    ram: float
+    ram: float  # GB for each task, as cpus and gpus are for each task
     image: str
     image_gb: float
-    types: list[str] | None
-    zone: str | None
-    one_zone: bool
-    spread: bool
-    spot: bool
-    estimate_s: float
-    checkpoint_s: float
-    save_s: float
-    deadline_s: float | None
-    submitted: float  # time of day at which it was accepted
+    types: list[str] | None  # machine types that it may run on; None: any
+    zone: str | None  # that it must run in; None: any
+    one_zone: bool  # all its tasks must run in the same zone
+    spread: bool  # at most half of its tasks, rounded up, may run in one zone
+    spot: bool  # it may run on spot machines
+    estimate_s: float  # expected runtime of a task, by the user
+    checkpoint_s: float  # interval at which a task saves by itself; 0: it never saves
+    save_s: float  # time that a task needs to save when it is stopped
+    deadline_s: float | None  # within which it should end
+    submitted: float  # time of day at which it was accepted, s
     daemon: bool = False  # its tasks, replicas, run until the job is cancelled
 
     @property
     def expected_s(self) -> float:
-        """How long a task should run, by its owner."""
+        """Expected runtime of a task, by its user; infinite for the replicas of a daemon."""
         return math.inf if self.daemon else self.estimate_s
 
 
 def decode_submission(raw: dict[str, Any], submitted: float) -> JobSpec:
-    """The job of a submission; MalformedError if it is none."""
+    """The job in the body of a submission that is accepted at the time of day `submitted`;
+    MalformedError if it is invalid."""
     try:
         job = msgspec.convert(raw, WireJob)
     except msgspec.ValidationError as exc:
@@ -110,7 +138,7 @@
         job.stow_s,
         job.due_s or 0.0,
     )
-    if not all(math.isfinite(x) for x in amounts):
+    if not all(math.isfinite(amount) for amount in amounts):
         raise MalformedError("an amount is not finite")
     return JobSpec(
         id=job.id,
@@ -139,18 +167,19 @@
 
 
 def spec_to_record(spec: JobSpec) -> dict[str, Any]:
-    """The job as it is stored."""
+    """The job's record in the state service."""
     record: dict[str, Any] = msgspec.to_builtins(spec)
     return record
 
 
 def spec_from_record(record: dict[str, Any]) -> JobSpec:
-    """The job as it was stored; fields that are not known are ignored."""
+    """The job of a record; fields that are not known are ignored. msgspec.ValidationError if it is
+    not the record of a job."""
     return msgspec.convert(record, JobSpec)
 
 
 def encode_job_status(
-    job_id: str, standing: JobStatus, done: int = 0, running: int = 0
+    job_id: str, status: JobStatus, done: int = 0, running: int = 0
 ) -> dict[str, Any]:
-    """The body of an answer about a job."""
-    return {"id": job_id, "standing": standing.value, "done": done, "running": running}
+    """The body of an answer about a job; `done` and `running` are numbers of tasks."""
+    return {"id": job_id, "standing": status.value, "done": done, "running": running}
