--- a/peathall/controller/__init__.py
+++ b/peathall/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: listeners, routes, and its part in the election."""
+"""One controller: its construction and life cycle, and the routing of each request."""
--- /dev/null
+++ b/peathall/controller/job_requests.py
@@ -0,0 +1,100 @@
+"""Which part answers a user's request: the leader here, the leader elsewhere, or this follower."""
+
+from __future__ import annotations
+
+import asyncio
+import logging
+from collections.abc import Awaitable
+from http import HTTPStatus
+
+from peathall import constants
+from peathall.controller.leader_directory import LeaderDirectory
+from peathall.http.client import NoAnswerError
+from peathall.http.request_queue import RequestClass, RequestQueue
+from peathall.jobs.follower import FollowerService
+from peathall.jobs.service import RETRY_LATER, JobResponse
+from peathall.leader.term import Leader
+from peathall.peers.client import Peers
+from peathall.peers.messages import AcceptRequest, JobRequest, QueryRequest
+from peathall.store.client import StoreError
+
+log = logging.getLogger("peathall.controller")
+
+
+class JobRequestRouter:
+    """Routes the requests of users about jobs."""
+
+    def __init__(
+        self,
+        leaders: LeaderDirectory,
+        peers: Peers,
+        follower_service: FollowerService,
+        queue: RequestQueue,
+    ) -> None:
+        self._leaders = leaders
+        self._peers = peers
+        self._follower_service = follower_service
+        self._queue = queue
+
+    async def route(self, request: JobRequest) -> JobResponse:
+        """Answer a request that a user has sent to this controller."""
+        leader = self._leaders.local
+        if leader is not None:
+            if leader.is_active():
+                return await _ask_leader(leader, request)
+        else:
+            leader_name = self._leaders.remote()
+            if leader_name is not None:
+                response = await self._forward(leader_name, request)
+                if response is not None:
+                    return response
+        return await self._ask_follower(request)
+
+    async def serve_forwarded(self, request: JobRequest) -> JobResponse:
+        """Answer a request that another controller has forwarded, taking this one for the leader.
+        It is not forwarded again: if this controller does not lead, the sender has to find out."""
+        request_class = (
+            RequestClass.QUERY if isinstance(request, QueryRequest) else RequestClass.WRITE
+        )
+        if self._leaders.local is None or not await self._queue.admit(request_class):
+            return RETRY_LATER
+        leader = self._leaders.local  # the term may have ended while the request waited
+        return RETRY_LATER if leader is None else await _ask_leader(leader, request)
+
+    async def _forward(self, leader_name: str, request: JobRequest) -> JobResponse | None:
+        """The leader's answer; None if it gave none, or is not able to serve."""
+        accepts = isinstance(request, AcceptRequest)
+        timeout = constants.FORWARD_ACCEPT_S if accepts else constants.FORWARD_S
+        try:
+            status, value = await self._peers.forward(
+                leader_name, request, timeout, constants.ACCEPT_S
+            )
+        except NoAnswerError as exc:
+            log.debug("job request not forwarded to leader %s: %s", leader_name, exc)
+            return None
+        return None if status == HTTPStatus.SERVICE_UNAVAILABLE else (status, value)
+
+    async def _ask_follower(self, request: JobRequest) -> JobResponse:
+        response: Awaitable[JobResponse]
+        match request:
+            case AcceptRequest(spec=spec):
+                response = self._follower_service.accept(spec)
+            case QueryRequest(job_id=job_id):
+                response = self._follower_service.query(job_id)
+            case _:
+                return RETRY_LATER  # only a leader can cancel: it keeps the job in memory
+        try:
+            return await asyncio.wait_for(response, constants.FALLBACK_S)
+        except (StoreError, TimeoutError) as exc:
+            log.debug("job request not answered from the state service: %s", exc)
+            return RETRY_LATER
+
+
+async def _ask_leader(leader: Leader, request: JobRequest) -> JobResponse:
+    match request:
+        case AcceptRequest(spec=spec):
+            return await leader.accept(spec)
+        case QueryRequest(job_id=job_id):
+            return await leader.query(job_id)
+        case _:
+            return await leader.cancel(request.job_id)
--- /dev/null
+++ b/peathall/controller/peer_routes.py
@@ -0,0 +1,81 @@
+"""Requests at the address for other controllers that belong to an optional feature.
+
+They come from the other controllers, from other cells, and from the commands of operators.
+"""
+
+from __future__ import annotations
+
+import logging
+from http import HTTPStatus
+from typing import TYPE_CHECKING
+
+import msgspec
+
+from peathall import constants
+from peathall.controller.leader_directory import LeaderDirectory
+from peathall.http.client import NoAnswerError
+from peathall.peers import messages
+from peathall.peers.client import Peers
+from peathall.peers.messages import MalformedMessageError, PeerResponse
+from peathall.store.client import StoreError
+
+if TYPE_CHECKING:
+    from peathall.duties.service import Duties
+
+log = logging.getLogger("peathall.controller")
+
+DUTY_PATHS = ("/duty", "/duties", "/duties/waiting")
+CELLS_PREFIX = "/cells"
+CELL_STATUS_PATH = "/cells"
+
+
+class DutyRoutes:
+    """Requests about duties, which any controller answers."""
+
+    def __init__(self, duties: Duties) -> None:
+        self._duties = duties
+
+    async def serve(self, path: str, raw: bytes) -> PeerResponse | None:
+        """The answer; None if the path does not belong to duties."""
+        if path not in DUTY_PATHS:
+            return None
+        try:
+            return PeerResponse(*await self._duties.serve(path, raw))
+        except StoreError as exc:
+            log.debug("duty request %s not answered: %s", path, exc)
+            return PeerResponse(HTTPStatus.SERVICE_UNAVAILABLE, None)
+
+
+class CellRoutes:
+    """Requests about cells, which the leader answers. Messages of other cells are redirected to
+    it; the status for operators is fetched from it."""
+
+    def __init__(self, own_name: str, leaders: LeaderDirectory, peers: Peers) -> None:
+        self._own_name = own_name
+        self._leaders = leaders
+        self._peers = peers
+
+    async def serve(self, path: str, raw: bytes) -> PeerResponse | None:
+        """The answer; None if the path does not belong to cells."""
+        if not path.startswith(CELLS_PREFIX):
+            return None
+        leader = self._leaders.local
+        if leader is None or leader.cells is None:
+            if path == CELL_STATUS_PATH:
+                return await self._relay_to_leader(path, raw)
+            leader_name = self._leaders.remote()
+            return PeerResponse(HTTPStatus.MISDIRECTED_REQUEST, {"leader": leader_name})
+        if path == CELL_STATUS_PATH:
+            status = leader.cells.status(self._own_name)
+            return PeerResponse(HTTPStatus.OK, msgspec.to_builtins(status))
+        return PeerResponse(*await leader.cells.serve(path, raw))
+
+    async def _relay_to_leader(self, path: str, raw: bytes) -> PeerResponse:
+        leader_name = self._leaders.remote()
+        if leader_name is None:
+            return PeerResponse(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "nobody leads"})
+        try:
+            status, answer = await self._peers.send(leader_name, path, raw, constants.FORWARD_S)
+            return PeerResponse(status, messages.decode_value(answer))
+        except (NoAnswerError, MalformedMessageError) as exc:
+            return PeerResponse(HTTPStatus.SERVICE_UNAVAILABLE, {"error": str(exc)})
--- /dev/null
+++ b/peathall/controller/user_routes.py
@@ -0,0 +1,106 @@
+"""Requests of users: submission, query and cancellation of a job."""
+
+from __future__ import annotations
+
+import logging
+import re
+from collections.abc import Callable
+from http import HTTPStatus
+from typing import Any
+
+from peathall import constants
+from peathall.controller.health import ControllerHealth
+from peathall.controller.job_requests import JobRequestRouter
+from peathall.http.message import Request, Response
+from peathall.http.request_queue import RequestClass, RequestQueue
+from peathall.jobs.service import RETRY_LATER, JobResponse
+from peathall.peers.messages import AcceptRequest, CancelRequest, QueryRequest
+from peathall.protocol import codec
+from peathall.protocol.jobs import JobSpec, decode_submission, spec_to_record
+
+log = logging.getLogger("peathall.controller")
+
+JOB_ID = re.compile(r"j-[0-9]{1,30}\Z")
+# The user has to come back a little later, with the same request.
+RETRY_STATUSES = frozenset(
+    (HTTPStatus.TOO_MANY_REQUESTS, HTTPStatus.SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
+)
+
+
+class UserRoutes:
+    """Admits and decodes the requests of users, and encodes the answers."""
+
+    def __init__(
+        self,
+        router: JobRequestRouter,
+        queue: RequestQueue,
+        health: ControllerHealth,
+        max_record_bytes: float,
+        wall: Callable[[], float],
+    ) -> None:
+        self._router = router
+        self._queue = queue
+        self._health = health
+        self._max_record_bytes = max_record_bytes  # of a job in the state service
+        self._wall = wall  # time of day
+
+    async def submit(self, request: Request) -> Response:
+        """Submission of a job."""
+        if not await self._queue.admit(RequestClass.WRITE):
+            return self._respond(RETRY_LATER)
+        raw: dict[str, Any] = {}
+        try:
+            raw = codec.cbor_map(request.body)
+            spec = self._decode_spec(raw)
+        except codec.MalformedError as exc:
+            return self._respond(await self._answer_malformed(raw.get("id"), str(exc)))
+        return self._respond(await self._router.route(AcceptRequest(spec)))
+
+    def _decode_spec(self, raw: dict[str, Any]) -> JobSpec:
+        spec = decode_submission(raw, self._wall())
+        if codec.json_size(spec_to_record(spec)) > self._max_record_bytes:
+            raise codec.MalformedError("too large to be kept")
+        return spec
+
+    async def _answer_malformed(self, job_id: object, problem: str) -> JobResponse:
+        """A malformed submission may repeat one that was accepted. That job is known, and its
+        status is the answer, whatever is wrong with the repetition."""
+        if isinstance(job_id, str) and JOB_ID.match(job_id):
+            known = await self._router.route(QueryRequest(job_id))
+            if known[0] != HTTPStatus.NOT_FOUND:
+                return known
+        log.info("submission rejected as malformed: %s", problem)
+        return HTTPStatus.BAD_REQUEST, {"error": problem}
+
+    async def query(self, job_id: str) -> Response:
+        """Status of a job."""
+        return await self._serve_job(RequestClass.QUERY, QueryRequest(job_id))
+
+    async def cancel(self, job_id: str) -> Response:
+        """Cancellation of a job."""
+        return await self._serve_job(RequestClass.WRITE, CancelRequest(job_id))
+
+    async def _serve_job(
+        self, request_class: RequestClass, request: QueryRequest | CancelRequest
+    ) -> Response:
+        if not JOB_ID.match(request.job_id):
+            return codec.cbor_response(HTTPStatus.NOT_FOUND, {"error": "no such job"})
+        if not await self._queue.admit(request_class):
+            return self._respond(RETRY_LATER)
+        return self._respond(await self._router.route(request))
+
+    def _respond(self, answer: JobResponse) -> Response:
+        """Encode an answer. If this controller can't serve while others may, the connection is
+        closed, so that the user's next one may reach another controller."""
+        response = user_response(answer)
+        response.close = (
+            response.status == HTTPStatus.SERVICE_UNAVAILABLE and self._health.is_isolated()
+        )
+        return response
+
+
+def user_response(answer: JobResponse) -> Response:
+    """An answer for a user as an HTTP response."""
+    status, value = answer
+    retry_after = constants.RETRY_AFTER_S if status in RETRY_STATUSES else None
+    return codec.cbor_response(status, value if value is not None else {}, retry_after)
--- /dev/null
+++ b/peathall/controller/worker_routes.py
@@ -0,0 +1,63 @@
+"""Heartbeats of workers: answered by the leader here, or redirected to the leader elsewhere."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from http import HTTPStatus
+
+from peathall.controller.leader_directory import LeaderDirectory
+from peathall.http.message import Request, Response
+from peathall.http.request_queue import RequestClass, RequestQueue
+from peathall.peers.redirected_workers import RedirectedWorkers
+from peathall.protocol import codec
+from peathall.protocol.heartbeats import Heartbeat, decode_heartbeat
+
+
+class WorkerRoutes:
+    """Admits and decodes the heartbeats of workers, and encodes the answers."""
+
+    def __init__(
+        self,
+        leaders: LeaderDirectory,
+        redirected: RedirectedWorkers,
+        queue: RequestQueue,
+        is_crowded: Callable[[], bool],
+    ) -> None:
+        self._leaders = leaders
+        self._redirected = redirected
+        self._queue = queue
+        self._is_crowded = is_crowded  # whether connections are scarce
+        self._loop = asyncio.get_running_loop()
+
+    async def heartbeat(self, request: Request) -> Response:
+        """A worker's heartbeat."""
+        response = await self._answer(request)
+        # If there are more workers than sockets, each connection serves one heartbeat, so that no
+        # user is displaced. Closing idle connections instead would now and then lose a heartbeat
+        # that is on its way.
+        response.close = self._is_crowded()
+        return response
+
+    async def _answer(self, request: Request) -> Response:
+        if not await self._queue.admit(RequestClass.HEARTBEAT):
+            return codec.cbor_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "too late"})
+        try:
+            heartbeat = decode_heartbeat(codec.cbor_map(request.body))
+        except codec.MalformedError as exc:
+            return codec.cbor_response(HTTPStatus.BAD_REQUEST, {"error": str(exc)})
+        leader = self._leaders.local
+        if leader is None:
+            return self._redirect(heartbeat)
+        status, answer = await leader.handle_heartbeat(heartbeat)
+        if status == HTTPStatus.OK:
+            return codec.cbor_response(HTTPStatus.OK, answer)
+        return codec.cbor_response(HTTPStatus.SERVICE_UNAVAILABLE, {"error": "not entitled now"})
+
+    def _redirect(self, heartbeat: Heartbeat) -> Response:
+        self._redirected.note(
+            heartbeat.machine, (heartbeat.epoch, heartbeat.sequence), self._loop.time()
+        )
+        leader_name = self._leaders.remote()
+        body = {"error": "no leader"} if leader_name is None else {"steward": leader_name}
+        return codec.cbor_response(HTTPStatus.MISDIRECTED_REQUEST, body)
--- a/peathall/peers/__init__.py
+++ b/peathall/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `peers`: what controllers tell one another."""
+"""Slice `peers`: requests and pings between the controllers of one deployment."""
--- /dev/null
+++ b/peathall/peers/server.py
@@ -0,0 +1,81 @@
+"""Requests of the other controllers: pings, forwarded requests, and those of optional features."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable, Sequence
+from typing import Any, Protocol
+
+import orjson
+
+from peathall.http.message import Request, Response
+from peathall.peers import messages
+from peathall.peers.messages import (
+    FORWARD_PATH,
+    PING_PATH,
+    REDIRECTED_QUERY,
+    JobRequest,
+    MalformedMessageError,
+    PeerResponse,
+    PingResponse,
+)
+from peathall.peers.redirected_workers import RedirectedWorkers
+
+# Serves a request that another controller has forwarded; status and value of its answer.
+ForwardedHandler = Callable[[JobRequest], Awaitable[tuple[int, Any]]]
+
+
+class FeatureRoutes(Protocol):
+    """Requests that belong to one optional feature."""
+
+    async def serve(self, path: str, raw: bytes) -> PeerResponse | None:
+        """The answer; None if the path does not belong to the feature, or the feature is off."""
+
+
+class PeerServer:
+    """Serves the requests that arrive at the address for other controllers."""
+
+    def __init__(
+        self,
+        is_leader: Callable[[], bool],
+        redirected: RedirectedWorkers,
+        serve_forwarded: ForwardedHandler,
+        features: Sequence[FeatureRoutes] = (),
+    ) -> None:
+        self.is_leader = is_leader  # whether this controller is the leader now
+        self.redirected = redirected
+        self.serve_forwarded = serve_forwarded
+        self.features = features
+        self.loop = asyncio.get_running_loop()
+
+    async def serve(self, request: Request) -> Response:
+        """The response to a request."""
+        if request.method == "GET" and request.path == PING_PATH:
+            return self._ping(request)
+        if request.method == "POST" and request.path == FORWARD_PATH:
+            return await self._forwarded(request)
+        for feature in self.features:
+            answer = await feature.serve(request.path, request.body)
+            if answer is not None:
+                return json_response(*answer)
+        return json_response(404, None)
+
+    def _ping(self, request: Request) -> Response:
+        asks_for_redirected = request.query == REDIRECTED_QUERY
+        response = PingResponse(
+            self.is_leader(),
+            self.redirected.recent(self.loop.time()) if asks_for_redirected else None,
+        )
+        return Response(200, messages.encode(response), "application/json")
+
+    async def _forwarded(self, request: Request) -> Response:
+        try:
+            job_request = messages.decode_job_request(request.body)
+        except MalformedMessageError:
+            return json_response(400, None)
+        return json_response(*await self.serve_forwarded(job_request))
+
+
+def json_response(status: int, value: Any) -> Response:
+    """A response between controllers."""
+    return Response(status, orjson.dumps(value), "application/json")
