--- /dev/null
+++ b/tests/sim/day_record.py
@@ -0,0 +1,25 @@
+"""What was observed on a simulated day, and which rules were broken."""
+
+from __future__ import annotations
+
+from tests.sim.net import VirtualLoop
+
+
+class DayRecord:
+    """Observations that the rules are checked on; all times are of the virtual clock, in s."""
+
+    def __init__(self, loop: VirtualLoop) -> None:
+        self.loop = loop
+        self.broken: list[str] = []  # violations of rules: time, rule and what happened
+        self.troubled_until = 0.0  # until then effects of faults excuse delays
+        self.accepted: set[str] = set()  # jobs whose submission was confirmed
+        self.submitted: dict[str, float] = {}  # job -> when its submission was confirmed
+        self.begun: dict[str, float] = {}  # job -> when its first task was on a machine
+        self.cancelled: dict[str, float] = {}  # job -> when a user first learned of it
+        self.last_response: dict[str, str] = {}  # job -> status in the last response to its user
+        self.starts = 0  # attempts that came to machines
+        self.starts_after_cancel = 0
+
+    def breaks(self, rule: str, what: str) -> None:
+        """Records the violation of a rule."""
+        self.broken.append(f"{self.loop.now:.2f} {rule}: {what}")
--- /dev/null
+++ b/tests/sim/task_registry.py
@@ -0,0 +1,58 @@
+"""The jobs that users have uploaded, and their tasks on machines and with results."""
+
+from __future__ import annotations
+
+from typing import TYPE_CHECKING, Any
+
+from peathall.protocol.heartbeats import decode_task_name
+
+if TYPE_CHECKING:
+    from tests.sim.worker import Task
+
+
+class TaskRegistry:
+    """What the workers know of jobs and tasks; the cells of a day share one."""
+
+    def __init__(self) -> None:
+        self.jobs: dict[str, dict[str, Any]] = {}  # job -> its submission, as drawn
+        self.results: set[str] = set()  # names of tasks that have succeeded
+        self.on_machines: dict[str, list[Task]] = {}  # task name -> attempts on machines
+        self.by_job: dict[str, dict[Task, None]] = {}  # job -> attempts on machines, in order
+
+    def add(self, task: Task) -> None:
+        """The attempt is on its machine from now on."""
+        self.on_machines.setdefault(task.name, []).append(task)
+        self.by_job.setdefault(task.job_id, {})[task] = None
+
+    def remove(self, task: Task) -> None:
+        """The attempt has left its machine."""
+        self.on_machines[task.name].remove(task)
+        del self.by_job[task.job_id][task]
+
+    def missing_results(self, job_id: str) -> list[int]:
+        """Indices of the job's tasks that have not succeeded."""
+        job = self.jobs[job_id]
+        return [t for t in range(job["parcels"]) if f"{job_id}/{t}" not in self.results]
+
+    def tasks_of(self, job_id: str) -> list[Task]:
+        """The job's attempts on machines, ordered by the first start of each task."""
+        return [
+            task
+            for name, tasks in self.on_machines.items()
+            if name.startswith(job_id)
+            for task in tasks
+        ]
+
+    def members(self, task: Task) -> list[Task]:
+        """The attempts on machines that belong to the gang of this one; of others itself."""
+        if task.job["shape"] != "ensemble":
+            return [task]
+        job_id = decode_task_name(task.name)[0]
+        return [t for t in self.by_job.get(job_id, ()) if t.attempt == task.attempt]
+
+    def begin_gang(self, task: Task) -> None:
+        """Begins all tasks of the gang if all of them are on machines and wait."""
+        members = [t for t in self.members(task) if t.state == "waiting"]
+        if len(members) == task.job["parcels"]:
+            for member in members:
+                member.worker.begin(member)
--- /dev/null
+++ b/tests/sim/task_rules.py
@@ -0,0 +1,134 @@
+"""The rules about tasks on machines: where they may run, when, and how many of a team."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Collection
+from typing import Any
+
+from peathall.config.platform import Settings
+from tests.sim.day_record import DayRecord
+from tests.sim.task_registry import TaskRegistry
+from tests.sim.worker import Task, Worker
+
+CAPACITIES = ("vcpus", "cards", "ram_gb")
+
+
+class TaskRules:
+    """Follows the attempts that come to machines and leave them, and checks the rules on them."""
+
+    def __init__(
+        self,
+        registry: TaskRegistry,
+        record: DayRecord,
+        settings: list[Settings],
+        cancel_s: float,
+    ) -> None:
+        self.registry, self.record, self.settings = registry, record, settings
+        self.loop = record.loop
+        self.cancel_s = cancel_s
+        self.team_usage: dict[str, list[float]] = {}  # team -> CPUs and GPUs on machines
+        self.waiting_s: dict[str, int] = {}  # job -> seconds that it waits beside free capacity
+        self.on_start: Callable[[Task], None] = lambda task: None  # after it was counted
+
+    def added(self, task: Task) -> None:
+        """An attempt has come to its machine."""
+        self.record.starts += 1
+        job, job_id = task.job, task.job_id
+        if self.registry.on_machines.get(task.name):
+            self.record.breaks("ran_twice", task.name)
+        self.check_place(task)
+        if job_id in self.record.cancelled:
+            self.record.starts_after_cancel += 1
+        if (
+            job_id in self.record.cancelled
+            and self.loop.now - self.record.cancelled[job_id] > self.cancel_s
+        ):
+            self.record.breaks("ran_cancelled", task.name)
+        self.registry.add(task)
+        task.counted = True
+        self.record.begun.setdefault(job_id, self.loop.now)
+        usage = self.usage_of(job["desk"])
+        usage[0] += job["vcpus"]
+        usage[1] += job["cards"]
+        self.check_quota(job["desk"])
+        self.on_start(task)
+
+    def removed(self, task: Task) -> None:
+        """An attempt has left its machine, if it ever came to it."""
+        if task.counted:
+            task.counted = False
+            self.registry.remove(task)
+            usage = self.usage_of(task.job["desk"])
+            usage[0] -= task.job["vcpus"]
+            usage[1] -= task.job["cards"]
+
+    def usage_of(self, team: str) -> list[float]:
+        """CPUs and GPUs that the team's tasks take on machines."""
+        return self.team_usage.setdefault(team, [0.0, 0.0])
+
+    def check_place(self, task: Task) -> None:
+        """A task runs only on machines that its job allows."""
+        job, worker = task.job, task.worker
+        if job["builds"] is not None and worker.type["label"] not in job["builds"]:
+            self.record.breaks("wrong_place", f"{task.name} type")
+        if job["ward"] not in (None, worker.zone) or (worker.spot and not job["standby"]):
+            self.record.breaks("wrong_place", f"{task.name} zone or kind")
+        zones = [t.worker.zone for t in self.registry.by_job.get(task.job_id, ())]
+        if job["together"] and any(z != worker.zone for z in zones):
+            self.record.breaks("wrong_place", f"{task.name} together")
+        if job["scatter"] and zones.count(worker.zone) + 1 > (job["parcels"] + 1) // 2:
+            self.record.breaks("wrong_place", f"{task.name} scatter")
+
+    def check_quota(self, team_name: str) -> None:
+        """A team's tasks take no more than the team's limits."""
+        cpus, gpus = self.usage_of(team_name)
+        for team in self.settings[0].params.teams:
+            if team.name != team_name:
+                continue
+            if team.gpus_max and gpus > team.gpus_max + 1e-6:
+                self.record.breaks("quota", team.name)
+            if team.cpus_max and cpus > team.cpus_max + 1e-6:
+                self.record.breaks("quota", team.name)
+
+    def check_waits(self, workers: Collection[Worker]) -> None:
+        """Called every second. Once the effects of faults are over, no array waits for 90 s while
+        a suitable machine has free capacity and the team is under its limit."""
+        for job_id in self.record.accepted - self.record.cancelled.keys():
+            job = self.registry.jobs[job_id]
+            missing = self.registry.missing_results(job_id)
+            idle = [t for t in missing if not self.registry.on_machines.get(f"{job_id}/{t}")]
+            waits = (
+                bool(idle)
+                and len(idle) == len(missing)
+                and (job["shape"] == "sweep" or job["parcels"] == 1)
+                and not job.get("mistaken")
+                and self.loop.now > self.record.troubled_until
+                and any(has_capacity(worker, job) for worker in workers)
+                and self.under_limit(job)
+            )
+            self.waiting_s[job_id] = self.waiting_s.get(job_id, 0) + 1 if waits else 0
+            if self.waiting_s[job_id] == 90:
+                self.record.breaks("waits", job_id)
+
+    def under_limit(self, job: dict[str, Any]) -> bool:
+        """Whether the job's team may use what one more task of the job takes."""
+        team = next(t for t in self.settings[0].params.teams if t.name == job["desk"])
+        cpus, gpus = self.usage_of(team.name)
+        return not (team.cpus_max and cpus + job["vcpus"] > team.cpus_max) and not (
+            team.gpus_max and gpus + job["cards"] > team.gpus_max
+        )
+
+    def check_cancelled(self) -> None:
+        """No task of a cancelled job is on a machine once the time for it is over."""
+        for job_id, at in self.record.cancelled.items():
+            if self.loop.now - at > self.cancel_s and self.registry.by_job.get(job_id):
+                self.record.breaks("ran_cancelled", job_id)
+
+
+def has_capacity(worker: Worker, job: dict[str, Any]) -> bool:
+    """Whether a task of the job may run on the machine and fits beside those there."""
+    live = [t.job for t in worker.tasks.values() if t.state != "exited"]
+    fits = all(sum(j[kind] for j in live) + job[kind] <= worker.type[kind] for kind in CAPACITIES)
+    allowed = job["builds"] is None or worker.type["label"] in job["builds"]
+    allowed = allowed and job["ward"] in (None, worker.zone) and not worker.unhealthy
+    return fits and allowed and worker.state == "running" and (job["standby"] or not worker.spot)
