--- a/peathall/cluster/__init__.py
+++ b/peathall/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The state of the cluster in one leader term: jobs, attempts, machines and teams' usage."""
+"""State of the cluster in one leader term: jobs, attempts, machines and the usage of teams."""
--- a/peathall/cluster/job.py
+++ b/peathall/cluster/job.py
@@ -12,7 +12,7 @@
 
 
 class JobPhase(Enum):
-    """Lifecycle of a job, from its acceptance to its final status."""
+    """Phases of a job, from its acceptance to its final status."""
 
     ACTIVE = auto()  # accepted, with work left
     CANCELLING = auto()  # the cancellation is being stored; no task starts
@@ -24,25 +24,25 @@
     """Whether a job's failures are likely to be caused by the job itself."""
 
     UNKNOWN = auto()  # no task has succeeded yet, nor failed on several machines
-    HEALTHY = auto()  # a task of it has succeeded, or run for long enough
+    HEALTHY = auto()  # one of its tasks has succeeded, or has run for long enough
     FAILING = auto()  # failed on several machines and succeeded on none
 
 
 class AttemptPhase(Enum):
-    """Lifecycle of an attempt, from its reservation to the proof that it has ended."""
+    """Phases of an attempt, from the allocation of capacity to the proof that it has ended."""
 
-    PLANNED = auto()  # capacity is allocated, the round is not stored yet
-    INTENDED = auto()  # the round is stored; the start command may be sent
-    SENT = auto()  # a start command was sent, or may have been in an earlier term
-    FETCHING = auto()  # its machine fetches the image
-    WAITING = auto()  # gang task that waits for the other tasks of its gang
-    RUNNING = auto()  # its process runs
-    CHECKPOINTING = auto()  # it saves its progress before it stops
-    GONE = auto()  # proven not to be on its machine; its capacity is free
+    PLANNED = auto()  # capacity is allocated; the scheduling round is not stored yet
+    INTENDED = auto()  # the scheduling round is stored; a start command may be sent
+    SENT = auto()  # a start command was sent, or may have been sent in an earlier term
+    FETCHING = auto()  # the machine is fetching the image
+    WAITING = auto()  # the task waits for the other tasks of its gang
+    RUNNING = auto()  # the process of the task is running
+    CHECKPOINTING = auto()  # the task is saving its progress before it stops
+    GONE = auto()  # proven not to be on its machine; the capacity is free
 
 
 class Attempt:
-    """One start of one task on one machine. Its capacity is allocated until it is GONE."""
+    """One attempt to run one task on one machine. Its capacity is allocated until it is GONE."""
 
     __slots__ = (
         "epoch",
@@ -65,31 +65,31 @@
         self.machine = machine
         self.round_key = round_key
         self.phase = AttemptPhase.PLANNED
-        self.stopping = False  # a stop command is due with every answer until it is gone
-        self.grace_s = 0.0  # s; time to checkpoint that the stop command gives it
-        self.epoch = 0  # epoch of the worker when it was sent or last seen; 0: not known
-        self.since = 0.0  # steady time at which it entered its phase
-        self.last_status: TaskStatus | None = None  # from the latest heartbeat that shows it
+        self.stopping = False  # every heartbeat response carries a stop command for it
+        self.grace_s = 0.0  # time to checkpoint that the stop command allows
+        self.epoch = 0  # of the worker when the attempt was sent or last reported; 0: unknown
+        self.since = 0.0  # steady time at which it entered the phase
+        self.last_status: TaskStatus | None = None  # in the latest heartbeat with it
 
     def enter(self, phase: AttemptPhase, now: float) -> None:
-        """Change the phase, if it is not GONE yet."""
+        """Change the phase, unless it is GONE."""
         if phase is not self.phase and self.phase is not AttemptPhase.GONE:
             self.phase = phase
             self.since = now
 
     @property
     def running(self) -> bool:
-        """Whether its machine reports it as running."""
+        """Whether the machine reports the attempt as running."""
         return self.phase is AttemptPhase.RUNNING
 
     @property
     def is_leaving(self) -> bool:
-        """Whether its capacity becomes free soon: it is being stopped, or its job has ended."""
+        """Whether its capacity will be free soon: it is being stopped, or its job has ended."""
         return self.stopping or self.job.phase is not JobPhase.ACTIVE
 
 
 class Job:
-    """One job of a user, with its tasks and their attempts."""
+    """A job, with the state of its tasks and their current attempts."""
 
     __slots__ = (
         "attempts",
@@ -120,27 +120,27 @@
 
     def __init__(self, spec: JobSpec, now: float = 0.0) -> None:
         self.spec = spec
-        # No task may start in this cell: another cell may run the job, or the handoff lease on
-        # which this cell runs it has expired.
+        # No task may start in this cell: another cell may be running the job, or the lease under
+        # which this cell runs a borrowed job has expired.
         self.on_hold = False
-        self.start_deadline = math.inf  # steady time from which no start command may be sent
-        self.borrowed = False  # it was submitted to another cell, and runs in this one
-        self.running_remotely = 0  # running tasks in another cell, as that cell last reported
-        self.started_late = False  # it was started only after it had aged
-        self.has_started = False  # a task of it has run, as far as is known
-        self.idle_since = now  # steady time since which none of its tasks has an attempt
+        self.start_deadline = math.inf  # steady time after which no start command may be sent
+        self.borrowed = False  # submitted to another cell, and run by this one
+        self.running_remotely = 0  # running tasks in another cell, as last reported
+        self.started_late = False  # it was starving when it was started
+        self.has_started = False  # one of its tasks is known to have run
+        self.idle_since = now  # steady time since which it has had no attempts
         self.phase = JobPhase.ACTIVE
-        self.done = Ranges()  # tasks reported as done, perhaps not stored yet
-        self.done_keys: set[str] = set()  # keys of the records of done tasks
-        self.stored_done = Ranges()  # done tasks whose record is in the state service
-        self.pending = Ranges([(0, spec.tasks)])  # tasks that are neither done nor have an attempt
-        self.attempts: dict[int, Attempt] = {}  # by task
+        self.done = Ranges()  # tasks reported as done, whether stored or not
+        self.done_keys: set[str] = set()  # keys of the records that hold its done tasks
+        self.stored_done = Ranges()  # tasks stored as done in the state service
+        self.pending = Ranges([(0, spec.tasks)])  # neither done nor in an attempt
+        self.attempts: dict[int, Attempt] = {}  # task -> its attempt
         self.health = JobHealth.UNKNOWN
-        # Machine -> steady time of the latest failure of the job there, the latest last.
+        # Machine -> steady time of the latest failure of the job there, in order of time.
         self.failed_on: dict[str, float] = {}
-        self.longest_failed_run_s = 0.0  # s; the longest time that a task ran before it failed
-        self.consecutive_failures = 0  # failed starts since it last was healthy
-        self.last_failed_attempt = 0  # attempt number of the latest failure
+        self.longest_failed_run_s = 0.0  # longest time that a task ran before it failed
+        self.consecutive_failures = 0  # failed attempts since the job was last healthy
+        self.last_failed_attempt = 0  # number of the latest attempt that failed
         self.backoff_until = 0.0  # steady time before which no task is placed
         self.record_key = ""  # key of its record in the state service
         self.final_record_key = ""  # key of the record with its final status
@@ -148,7 +148,7 @@
         self.finalizing: asyncio.Future[str] | None = None  # the write of its final status
 
     def enter(self, phase: JobPhase) -> None:
-        """Change the phase. A final phase is never left; CANCELLING leads only to CANCELLED."""
+        """Change the phase. A final phase never changes; CANCELLING changes only to CANCELLED."""
         if self.phase is JobPhase.ACTIVE or (
             self.phase is JobPhase.CANCELLING and phase is JobPhase.CANCELLED
         ):
@@ -165,7 +165,7 @@
 
     @property
     def status(self) -> JobStatus:
-        """The status in answers to its user."""
+        """The status reported to users."""
         if self.phase is JobPhase.DONE:
             return JobStatus.DONE
         if self.phase is JobPhase.CANCELLED:
@@ -174,12 +174,12 @@
 
     @property
     def running(self) -> int:
-        """Number of its tasks that run, in this cell and in another."""
+        """Number of running tasks, in this cell and in another."""
         here = sum(1 for attempt in self.attempts.values() if attempt.running)
         return here + self.running_remotely
 
     def mark_done(self, task: int) -> bool:
-        """Record that the task is done; False if it was done already or does not exist."""
+        """Mark the task as done; False if it was done already or does not exist."""
         if task in self.done or not 0 <= task < self.spec.tasks:
             return False
         self.done.add(task)
@@ -187,11 +187,11 @@
         return True
 
     def mark_all_done(self) -> None:
-        """Record that every task is done."""
+        """Mark every task as done."""
         self.done.add(0, self.spec.tasks)
         self.pending = Ranges()
 
     def requeue(self, task: int) -> None:
-        """Return the task to the pending ones after its attempt has gone, unless it is done."""
+        """Make the task pending again after its attempt has ended, unless it is done."""
         if task not in self.done:
             self.pending.add(task)
--- a/peathall/cluster/machine.py
+++ b/peathall/cluster/machine.py
@@ -1,4 +1,4 @@
-"""Machines in one leader term: phases, capacity, and the state of their workers."""
+"""Machines in one leader term: phase, capacity, and the state of the worker on each."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec
 
-# Epoch and sequence before the first heartbeat of the term: lower than those of any heartbeat.
+# Epoch and sequence before the first heartbeat of the term: lower than in any heartbeat.
 NO_HEARTBEAT = (0, -1)
 
-# Phases of attempts whose image is not known to be on the machine yet.
+# Phases of attempts whose image may not be on the machine yet.
 PHASES_BEFORE_IMAGE = (
     AttemptPhase.PLANNED,
     AttemptPhase.INTENDED,
@@ -22,20 +22,20 @@
 
 
 class MachinePhase(Enum):
-    """Lifecycle of a machine, from its provisioning to its deletion."""
+    """Phases of a machine, from its provisioning to its deletion."""
 
     STARTING = auto()  # provisioned or listed by the cloud; no heartbeat yet
     RECOVERED = auto()  # known from records of an earlier term; no heartbeat in this one
     UP = auto()  # its worker sends heartbeats to this leader
-    DRAINING = auto()  # takes no new work: unhealthy, reclaimed by the cloud, or to be scaled in
-    DELETING = auto()  # its deletion was requested; it may still run tasks
-    GONE = auto()  # deleted, or failed and listed as such
+    DRAINING = auto()  # gets no new work: unhealthy, reclaimed by the cloud, or being scaled in
+    DELETING = auto()  # its deletion was requested; tasks may still be running on it
+    GONE = auto()  # deleted, or listed by the cloud as failed
 
 
 class Machine:
-    """A machine, its capacity, and what is known of its worker.
+    """A machine, its capacity, and the known state of its worker.
 
-    CPUs and GPUs are counted, memory is in GB; all times are steady times in seconds.
+    CPUs and GPUs are counts, memory is in GB, times are steady times in seconds.
     """
 
     __slots__ = (
@@ -81,39 +81,39 @@
         self.zone = zone
         self.spot = spot
         self.phase = phase
-        self.addr = ""  # of its worker, for direct commands and probes; empty: not known
-        self.cpus = self.gpus = self.ram = 0.0  # capacity; 0 until its type is known
+        self.addr = ""  # of the worker, for direct commands and probes; empty: unknown
+        self.cpus = self.gpus = self.ram = 0.0  # capacity; 0 until the machine type is known
         self.free_cpus = self.free_gpus = self.free_ram = 0.0
-        # Epoch and sequence of the latest heartbeat that was applied, which may have come as the
-        # response to direct commands, ...
+        # Epoch and sequence of the latest heartbeat applied. It may be the response to a direct
+        # command.
         self.epoch, self.sequence = NO_HEARTBEAT
-        # ... and of the latest one that was received as a request.
+        # Epoch and sequence of the latest heartbeat received as a request.
         self.last_received = NO_HEARTBEAT
-        self.last_response_token = 0  # fencing token of the latest answer to a heartbeat
-        self.last_response_at = 0.0  # when that answer was given
-        self.unacknowledged_since: float | None = None  # time of the answer that it did not get
+        self.last_response_token = 0  # fencing token in the latest heartbeat response
+        self.last_response_at = 0.0  # when that response was sent
+        self.unacknowledged_since: float | None = None  # when the response it missed was sent
         self.confirmed = False  # a heartbeat has shown a fencing token of this term
-        self.lease_renewed_at = 0.0  # when an answer last renewed the lease of its worker
-        self.last_heard = 0.0  # when its latest heartbeat was applied
-        self.created_at = 0.0  # when it was provisioned, or first known
-        self.registered_at = 0.0  # when its first heartbeat in this term came
-        self.listed_by_cloud = False  # the cloud has listed it in this term
+        self.lease_renewed_at = 0.0  # when a response last renewed the worker's lease
+        self.last_heard = 0.0  # when the latest heartbeat was applied
+        self.created_at = 0.0  # when it was provisioned, or first became known
+        self.registered_at = 0.0  # when its first heartbeat of this term arrived
+        self.listed_by_cloud = False  # whether the cloud has listed it in this term
         self.listed_at = 0.0  # when the cloud last listed it
-        self.reclaimed_at: float | None = None  # when the cloud reclaims it
-        self.idle_since = 0.0  # since when it has had no attempts
-        self.drain_reason = ""  # for the log
-        self.attempts: dict[tuple[str, int], Attempt] = {}  # by job and task
-        # Cached images, as far as is known -> GB; the least recently used first.
+        self.reclaimed_at: float | None = None  # when the cloud will reclaim it
+        self.idle_since = 0.0  # time since which it has had no attempts
+        self.drain_reason = ""  # only logged
+        self.attempts: dict[tuple[str, int], Attempt] = {}  # by job id and task
+        # Images known to be cached -> size in GB, least recently used first.
         self.images: OrderedDict[str, float] = OrderedDict()
-        self.failed_jobs: set[str] = set()  # jobs that failed on it since the last success
-        self.failed_probes = 0  # unanswered liveness probes since its last heartbeat
-        self.replicas = 0  # attempts of daemon jobs among its attempts
+        self.failed_jobs: set[str] = set()  # ids of jobs that failed on it since the last success
+        self.failed_probes = 0  # failed liveness probes since the last heartbeat
+        self.replicas = 0  # number of its attempts that belong to daemon jobs
         self.last_success_at = -1e9  # when a task last succeeded on it
 
     def enter(self, phase: MachinePhase) -> bool:
-        """Change the phase; False if it is not changed.
+        """Change the phase; False if it stays the same.
 
-        No phase follows GONE, only GONE follows DELETING, and DRAINING does not lead back to UP.
+        GONE is final, DELETING changes only to GONE, and DRAINING never changes back to UP.
         """
         if self.phase is MachinePhase.GONE or phase is self.phase:
             return False
@@ -126,23 +126,23 @@
 
     @property
     def is_schedulable(self) -> bool:
-        """Whether it takes new work: its worker is up and known to receive this leader's answers.
+        """Whether tasks may be placed on it: its worker is up and receives this leader's responses.
 
-        A heartbeat alone does not show that: answers may be lost while heartbeats arrive.
+        A heartbeat alone does not prove that: responses may be lost while heartbeats arrive.
         """
         return (
             self.phase is MachinePhase.UP and self.confirmed and self.unacknowledged_since is None
         )
 
     def set_capacity(self, size: MachineType) -> None:
-        """Set the capacity to that of its machine type, now that the type is known."""
+        """Set the capacity to that of the machine type, once the type is known."""
         self.free_cpus += size.cpus - self.cpus
         self.free_gpus += size.gpus - self.gpus
         self.free_ram += size.ram - self.ram
         self.cpus, self.gpus, self.ram = size.cpus, size.gpus, size.ram
 
     def allocate(self, attempt: Attempt) -> None:
-        """Take the capacity of a new attempt."""
+        """Allocate the capacity for a new attempt."""
         spec = attempt.job.spec
         self.attempts[(spec.id, attempt.task)] = attempt
         self.free_cpus -= spec.cpus
@@ -151,7 +151,7 @@
         self.replicas += spec.daemon
 
     def free(self, attempt: Attempt, now: float) -> None:
-        """Return the capacity of an attempt that is gone."""
+        """Free the capacity of an attempt that has ended."""
         spec = attempt.job.spec
         del self.attempts[(spec.id, attempt.task)]
         self.free_cpus += spec.cpus
@@ -160,13 +160,13 @@
         self.replicas -= spec.daemon
         if not self.attempts:
             self.idle_since = now
-            # Rounding errors must not keep a task that needs a whole machine from an empty one.
+            # Accumulated rounding errors must not prevent a task from using the whole machine.
             self.free_cpus, self.free_gpus, self.free_ram = self.cpus, self.gpus, self.ram
 
     def note_image(self, spec: JobSpec, cache_gb: float) -> bool:
-        """Record that an image is cached; True if it was not before.
+        """Record that the image of the job is cached; True if it was not cached before.
 
-        Workers evict the least recently used images beyond the size of the cache (protocol).
+        The least recently used images beyond the cache size are removed, as workers do (protocol).
         """
         new = spec.image not in self.images
         self.images[spec.image] = spec.image_gb
@@ -176,7 +176,7 @@
         return new
 
     def fetching(self) -> set[str]:
-        """Images that its attempts fetch or are going to fetch."""
+        """Images that its attempts are fetching or may have to fetch."""
         return {
             attempt.job.spec.image
             for attempt in self.attempts.values()
--- a/peathall/cluster/ranges.py
+++ b/peathall/cluster/ranges.py
@@ -9,7 +9,8 @@
 class Ranges:
     """A set of task numbers.
 
-    `spans` are the ranges (low, high), without `high`, in order; no two of them touch.
+    `spans` holds ranges (low, high) that exclude `high`, in ascending order; no two of them are
+    adjacent or overlap.
     """
 
     __slots__ = ("spans",)
@@ -34,7 +35,7 @@
         return index >= 0 and self.spans[index][0] <= number < self.spans[index][1]
 
     def add(self, low: int, high: int | None = None) -> None:
-        """Add the numbers from `low` up to, not including, `high`."""
+        """Add the numbers from `low` to `high` - 1; `low` alone if there is no `high`."""
         high = low + 1 if high is None else high
         if low >= high:
             return
@@ -49,10 +50,10 @@
         self.spans[start:end] = [(low, high)]
 
     def remove(self, low: int, high: int | None = None) -> None:
-        """Remove the numbers from `low` up to, not including, `high`."""
+        """Remove the numbers from `low` to `high` - 1; `low` alone if there is no `high`."""
         high = low + 1 if high is None else high
         if low >= high:
-            return  # an empty range must not cut a span in two
+            return  # an empty range must not split a span
         result = []
         for span_low, span_high in self.spans:
             if span_high <= low or span_low >= high:
@@ -65,7 +66,7 @@
         self.spans = result
 
     def first_outside(self, other: Ranges) -> int | None:
-        """The lowest number that is not in `other`; None if all are."""
+        """The lowest number of this set that is not in `other`; None if all are."""
         for low, high in self.spans:
             index = bisect_right(other.spans, (low, float("inf"))) - 1
             end = other.spans[index][1] if index >= 0 else low
@@ -74,7 +75,7 @@
         return None
 
     def first(self, count: int) -> list[int]:
-        """The lowest `count` numbers."""
+        """The lowest `count` numbers, or all if there are fewer."""
         found: list[int] = []
         for low, high in self.spans:
             take = min(high - low, count - len(found))
@@ -84,5 +85,5 @@
         return found
 
     def to_record(self) -> list[list[int]]:
-        """The ranges as lists of two numbers, as they are stored."""
+        """The ranges as lists [low, high], the form in which they are stored."""
         return [[low, high] for low, high in self.spans]
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -1,8 +1,7 @@
-"""The state of the cluster in one leader term: jobs, machines, attempts, rounds, usage.
+"""State of the cluster in one leader term: jobs, machines, attempts, rounds and usage of teams.
 
-It is rebuilt from records and heartbeats in every term, and dropped with it. The capacity of
-every attempt is allocated and released here and nowhere else, so machines, jobs, rounds and the
-teams' usage always agree.
+A new leader rebuilds it from stored records and heartbeats. The capacity of every attempt is
+allocated and released only here, so machines, jobs, rounds and usage always agree.
 """
 
 from __future__ import annotations
@@ -21,17 +20,17 @@
 
 
 class ClusterListener(Protocol):
-    """Is notified of what releases bring about."""
+    """Receives the effects of released attempts."""
 
     def round_finished(self, key: str) -> None:
-        """The last attempt of the round with this key is gone."""
+        """The last attempt of the scheduling round with this key has ended."""
 
     def capacity_freed(self) -> None:
         """Capacity was released."""
 
 
-class IgnoredClusterEvents:
-    """Nobody is notified."""
+class NullClusterListener:
+    """Listener that ignores all events."""
 
     def round_finished(self, key: str) -> None:
         """Ignored."""
@@ -41,34 +40,34 @@
 
 
 class ClusterState:
-    """Jobs, machines, attempts, rounds and the teams' usage in one term."""
+    """Jobs, machines, attempts, rounds and usage of teams in one leader term."""
 
     def __init__(
         self, term: int, first_attempt: int, listener: ClusterListener | None = None
     ) -> None:
         self.term = term
         self.jobs: dict[str, Job] = {}
-        self.archived: dict[str, JobStatus] = {}  # the latest archived jobs
+        self.archived: dict[str, JobStatus] = {}  # final status of recently archived jobs, by id
         self.machines: dict[str, Machine] = {}
-        # Name of a deleted machine -> steady time of its deletion, the latest last.
+        # Name of a deleted machine -> steady time of its deletion, in order of time.
         self._deleted: OrderedDict[str, float] = OrderedDict()
         self.types: dict[str, MachineType] = {}
-        self.usage: dict[str, list[float]] = {}  # team -> CPUs and GPUs of its attempts
-        # Round key -> its attempts that are not gone, in order (a dict for its order).
+        self.usage: dict[str, list[float]] = {}  # team -> CPUs and GPUs allocated
+        # Round key -> its attempts that have not ended, in order of allocation.
         self.rounds: dict[str, dict[Attempt, None]] = {}
-        self.next_attempt = first_attempt  # the latest attempt number given out
-        self.last_submission_at = -1e9  # steady time at which the latest job became known
-        self.listener = listener or IgnoredClusterEvents()
+        self.next_attempt = first_attempt  # the latest attempt number assigned
+        self.last_submission_at = -1e9  # steady time at which the latest job was added
+        self.listener = listener or NullClusterListener()
 
     def new_attempt_number(self) -> int:
-        """A number that no attempt has had, in this term or an earlier one."""
+        """A number that no attempt of this term or an earlier one has."""
         self.next_attempt += 1
         return self.next_attempt
 
     def note_archived(self, job_id: str, status: JobStatus) -> None:
-        """Remember the status of an archived job.
+        """Cache the final status of an archived job.
 
-        The earliest are dropped; a query for one of them reads the state service.
+        The oldest entries are evicted; queries for those jobs read the state service.
         """
         self.archived[job_id] = status
         if len(self.archived) > constants.REMEMBERED_JOBS:
@@ -77,7 +76,7 @@
     def machine(
         self, name: str, type_: str, zone: str, spot: bool, phase: MachinePhase, now: float
     ) -> Machine:
-        """The machine of this name, added in this phase if it is not known."""
+        """The machine with this name; it is added in the given phase if it is unknown."""
         found = self.machines.get(name)
         if found is None:
             found = Machine(name, type_, zone, spot, phase)
@@ -91,11 +90,11 @@
         return found
 
     def was_deleted(self, name: str) -> bool:
-        """Whether the machine of this name was deleted, as far as is remembered."""
+        """Whether a machine with this name was deleted and the deletion is still recorded."""
         return name in self._deleted
 
     def note_deleted(self, name: str, now: float) -> None:
-        """Remember a deletion for as long as delayed copies of heartbeats may arrive."""
+        """Record a deletion for as long as delayed copies of heartbeats may arrive."""
         self._deleted[name] = now
         while now - next(iter(self._deleted.values())) > constants.DELETED_MEMORY_S:
             self._deleted.popitem(last=False)
@@ -115,13 +114,13 @@
         return attempt
 
     def allocate_remote(self, spec: JobSpec) -> None:
-        """Count all tasks of the job, which may run in another cell, in its team's usage."""
+        """Add all tasks of a job that may run in another cell to the usage of its team."""
         usage = self.usage.setdefault(spec.team, [0.0, 0.0])
         usage[0] += spec.cpus * spec.tasks
         usage[1] += spec.gpus * spec.tasks
 
     def release_remote(self, spec: JobSpec) -> None:
-        """Undo `allocate_remote`: no task of the job can be in another cell any more."""
+        """Undo `allocate_remote` once no task of the job can run in another cell any more."""
         usage = self.usage[spec.team]
         usage[0] -= spec.cpus * spec.tasks
         usage[1] -= spec.gpus * spec.tasks
@@ -129,8 +128,8 @@
     def release(self, attempt: Attempt, now: float) -> None:
         """Release the capacity of an attempt that is proven to have ended.
 
-        It is not on its machine and cannot start there later. Its task is pending again, unless
-        it is done.
+        The attempt must not be on its machine and must not be able to start there later. Its task
+        becomes pending again, unless it is done.
         """
         if attempt.phase is AttemptPhase.GONE:
             return
@@ -140,7 +139,7 @@
         del job.attempts[attempt.task]
         job.requeue(attempt.task)
         if job.has_started and not job.attempts:
-            # Not before it has run: a start that came to nothing does not end the waiting time.
+            # An attempt that never ran does not reset the waiting time of its job.
             job.idle_since = now
         usage = self.usage[job.spec.team]
         usage[0] -= job.spec.cpus
@@ -152,7 +151,7 @@
         self.listener.capacity_freed()
 
     def remove_machine(self, machine: Machine, now: float, reason: str) -> list[Attempt]:
-        """Remove a machine that is gone, and release its attempts; these are returned."""
+        """Remove a machine that no longer exists; releases and returns its attempts."""
         machine.enter(MachinePhase.GONE)
         lost = self.release_all(machine, now)
         self.machines.pop(machine.name, None)
@@ -160,7 +159,7 @@
         return lost
 
     def release_all(self, machine: Machine, now: float) -> list[Attempt]:
-        """Release all attempts of a machine on which nothing runs any more; these are returned."""
+        """Release and return all attempts of a machine on which no task can run any more."""
         lost = list(machine.attempts.values())
         for attempt in lost:
             self.release(attempt, now)
