--- a/peathall/store/__init__.py
+++ b/peathall/store/__init__.py
@@ -1,1 +1,1 @@
-"""Package `store`: client of the state service, its rate limits, and the writer."""
+"""Client of the state service, its rate limits, and the writer that batches transactions."""
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -1,4 +1,4 @@
-"""Client of the state service: its calls, within this controller's share of the rate limits."""
+"""Client of the state service that keeps to this controller's share of the rate limits."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 
 class StoreResponse(Struct):
-    """A response of the state service with its decoded body."""
+    """A response of the state service, with the decoded body."""
 
     status: int
     body: Any
 
 
 class StoreClient:
-    """The calls of the state service.
+    """Requests to the state service.
 
-    All of them raise StoreError if the service did not carry them out, and its subclass
-    OutcomeUnknownError if that is not known.
+    Every request raises StoreError if it was not applied, and the subclass OutcomeUnknownError if
+    it may have been applied.
     """
 
     def __init__(
@@ -47,21 +47,21 @@
     ) -> None:
         self.rate_limits = StoreRateLimits(limits, controllers, leader_writes)
         self.http = HttpClient(addr)
-        self.watch_http = HttpClient(addr)  # apart, since a watch occupies its connection
+        self.watch_http = HttpClient(addr)  # separate, since a watch occupies its connection
         self.loop = asyncio.get_running_loop()
-        self.last_good = -1e9  # time of the last usable response
-        self.failing = False  # the latest request had no response, or the service was unavailable
+        self.last_good = -1e9  # steady time of the last response other than 429 or 503
+        self.failing = False  # the latest request got no response, or 503
 
     def set_leading(self, leading: bool) -> None:
-        """Use the leader's or a follower's share of the rate limits from now on."""
+        """Switch to the leader's or a follower's share of the rate limits."""
         self.rate_limits.set_leading(leading)
 
     def is_fresh(self) -> bool:
-        """Whether the service has responded recently, so that what a watch reported is current."""
+        """Whether the service has responded recently, so that data from a watch is up to date."""
         return self.loop.time() - self.last_good < constants.STORE_FRESH_S and not self.failing
 
     def spare_writes(self) -> float:
-        """Changes that deferred writes may make now."""
+        """Number of operations that deferred writes may use now."""
         return self.rate_limits.spare_writes()
 
     async def _request(
@@ -83,19 +83,19 @@
             raise RateLimitError(f"state service: {status}")
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
             self.failing = True
-            raise StoreError(f"state service: {status}")
+            raise StoreError(f"state service unavailable: status {status}")
         self.last_good = self.loop.time()
         self.failing = False
         try:
             return StoreResponse(status, codec.cbor_any(raw))
-        # The decoder fails on foreign bytes in many ways: recursion, memory, value.
+        # Malformed bytes make the decoder raise various errors: recursion, memory, value.
         except Exception as exc:
-            raise OutcomeUnknownError(f"garbled answer: {exc}") from None
+            raise OutcomeUnknownError(f"malformed response of the state service: {exc}") from None
 
     async def get(self, key: str, prioritized: bool = False) -> KeyValue | None:
-        """One record, or None if there is none.
+        """The record with this key, or None if it does not exist.
 
-        A prioritized read may use the requests that other reads leave to commits.
+        A prioritized read may use the part of the request rate that is reserved for commits.
         """
         await self.rate_limits.acquire(prioritized=prioritized)
         response = await self._request("GET", state_service.record_path(key))
@@ -103,7 +103,7 @@
             return state_service.key_value_from_wire(response.body)
         if response.status == HTTPStatus.NOT_FOUND:
             return None
-        raise StoreError(f"get {key}: {response.status}")
+        raise StoreError(f"get of record {key} failed: status {response.status}")
 
     async def scan(self, prefix: str) -> tuple[list[KeyValue], int]:
         """All records whose keys have the prefix, and the revision after which to watch them."""
@@ -113,9 +113,9 @@
             await self.rate_limits.acquire()
             response = await self._request("GET", state_service.scan_path(prefix, after))
             if response.status != HTTPStatus.OK:
-                raise StoreError(f"list {prefix}: {response.status}")
+                raise StoreError(f"scan of {prefix} failed: status {response.status}")
             if revision is None:
-                # That of the first page: a watch then reports what changes during the scan.
+                # A watch from the first page's revision reports all changes during the scan.
                 revision = state_service.revision_from_wire(response.body)
             page, more = state_service.scan_page_from_wire(response.body)
             items += page
@@ -124,9 +124,9 @@
             after = page[-1].key
 
     async def commit(self, conditions: dict[str, int], ops: list[Put | Delete]) -> int:
-        """Carry out a transaction, and return its revision.
+        """Commit a transaction and return its revision.
 
-        `conditions` has the version that each key must have (0: no such record). Raises
+        `conditions` maps keys to the version that each must have (0: no such record). Raises
         ConflictError, LeaseExpiredError, InvalidTransactionError and RateLimitError.
         """
         await self.rate_limits.acquire(len(ops))
@@ -141,48 +141,48 @@
             raise LeaseExpiredError
         if status == HTTPStatus.BAD_REQUEST:
             raise InvalidTransactionError(f"commit: {status} {body}")
-        raise StoreError(f"commit: {status} {body}")
+        raise StoreError(f"commit failed: status {status}, response {body}")
 
     async def grant_lease(self, ttl_s: float) -> int:
-        """The id of a new lease that lasts for `ttl_s` seconds after its last renewal."""
+        """The id of a new lease, which expires `ttl_s` seconds after its last renewal."""
         self.rate_limits.count_unlimited_request()
         wire = state_service.lease_request_to_wire(ttl_s)
         response = await self._request("POST", state_service.LEASES_PATH, wire)
         if response.status != HTTPStatus.OK:
-            raise StoreError(f"lease: {response.status}")
+            raise StoreError(f"grant of a lease failed: status {response.status}")
         return state_service.lease_from_wire(response.body)
 
     async def renew_lease(self, lease: int, timeout: float) -> None:
-        """Renew a lease; LeaseExpiredError if it has ended. The timeout is in seconds."""
+        """Renew a lease; LeaseExpiredError if it has expired. The timeout is in seconds."""
         self.rate_limits.count_unlimited_request()
         path = state_service.lease_renewal_path(lease)
         response = await self._request("POST", path, {}, timeout)
         if response.status == HTTPStatus.NOT_FOUND:
             raise LeaseExpiredError
         if response.status != HTTPStatus.OK:
-            raise StoreError(f"renew: {response.status}")
+            raise StoreError(f"renewal of a lease failed: status {response.status}")
 
     async def revoke_lease(self, lease: int) -> None:
-        """End a lease at once; its records are deleted."""
+        """Revoke a lease; the service deletes the records attached to it."""
         self.rate_limits.count_unlimited_request()
         await self._request("DELETE", state_service.lease_path(lease))
 
     async def watch(self, prefix: str, after: int) -> tuple[int, list[WatchEvent]] | None:
-        """Wait for changes after a revision, for a limited time.
+        """Wait up to WATCH_HOLD_S for changes after the revision `after`.
 
-        Returns the revision up to which they are reported, and the changes; None if the service no
-        longer knows all changes since `after`: then a scan is needed.
+        Returns the changes, with the revision up to which they are reported. Returns None if the
+        service no longer has all changes since `after`: the caller must scan again.
         """
         return await self._changes(prefix, after, constants.WATCH_HOLD_S, self.watch_http)
 
     async def changes_since(self, prefix: str, after: int) -> tuple[int, list[WatchEvent]] | None:
-        """As `watch`, without waiting for a change."""
+        """Like `watch`, but without waiting for changes."""
         return await self._changes(prefix, after, 0.0, self.http)
 
     async def _changes(
         self, prefix: str, after: int, hold_s: float, http: HttpClient
     ) -> tuple[int, list[WatchEvent]] | None:
-        # Those that wait for a change are so few that they need no limit of their own.
+        # Watches are few, so they need not leave requests to commits as other reads do.
         await self.rate_limits.acquire(prioritized=hold_s > 0)
         path = state_service.watch_path(prefix, after, hold_s)
         timeout = hold_s + constants.STORE_TIMEOUT_S
@@ -190,6 +190,6 @@
         if response.status == HTTPStatus.GONE:
             return None
         if response.status != HTTPStatus.OK:
-            raise StoreError(f"watch: {response.status}")
+            raise StoreError(f"watch failed: status {response.status}")
         events = state_service.watch_events_from_wire(response.body)
         return state_service.revision_from_wire(response.body), events
--- a/peathall/store/committer.py
+++ b/peathall/store/committer.py
@@ -1,10 +1,10 @@
-"""Commits a transaction, and finds out its outcome when the response is lost.
+"""Commits a transaction, and resolves its outcome when the response is lost.
 
-After an attempt without a response, a read tells whether it was carried out; if not, it is
-repeated unchanged. If the transaction has to be given up, since one of its conditions does not
-hold any more, the guard key is rewritten first: the attempt without a response may still be
-carried out minutes later, when its conditions may hold again, and no one would know of what it
-wrote.
+After an attempt without a response, the written records are read to find out whether it was
+applied; if not, the transaction is repeated unchanged. If the transaction must be abandoned
+because one of its conditions no longer holds, the guard key is rewritten first: otherwise the
+attempt might be applied minutes later, when its conditions hold again, and its writes would go
+unnoticed.
 """
 
 from __future__ import annotations
@@ -32,33 +32,33 @@
 
 
 class Applied(Struct):
-    """The transaction was carried out, at this revision."""
+    """The transaction was applied at this revision."""
 
     revision: int
-    attempt_pending: bool = False  # an earlier attempt has no response, and may yet be carried out
+    attempt_pending: bool = False  # an earlier attempt got no response and may still be applied
 
 
 class Rejected(Struct):
-    """The service will never carry out the transaction. No attempt is pending."""
+    """The service can never apply the transaction. No attempt is pending."""
 
     error: InvalidTransactionError
 
 
 class Conflicted(Struct):
-    """Conditions on these keys do not hold. No attempt is pending."""
+    """The conditions on these keys do not hold. No attempt is pending."""
 
     keys: list[str]
 
 
 class Abandoned(Struct):
-    """Leadership is lost, or the writer was stopped."""
+    """Leadership was lost, or the writer was stopped."""
 
 
 CommitResult = Applied | Rejected | Conflicted | Abandoned
 
 
 class TransactionCommitter:
-    """Repeats a transaction until its outcome is known, and fences off attempts without one."""
+    """Repeats a transaction until its outcome is known, and fences off unresolved attempts."""
 
     def __init__(self, store: StoreClient, guard: GuardKey, state: WriterState) -> None:
         self.store = store
@@ -74,7 +74,11 @@
             except OutcomeUnknownError as exc:
                 self._note_unknown_outcome(transaction, exc)
             except InvalidTransactionError as exc:
-                log.error("commit of %d changes rejected: %s", len(transaction.ops), exc)
+                log.error(
+                    "commit of %d operations rejected as invalid: %s",
+                    len(transaction.ops),
+                    exc,
+                )
                 if transaction.outcome_unknown and not await self.fence():
                     return Abandoned()
                 return Rejected(exc)
@@ -86,7 +90,7 @@
         return Abandoned()
 
     async def _attempt(self, transaction: Transaction) -> int:
-        """The revision of the commit: of this attempt, or of an earlier one without a response."""
+        """Commit once, unless an earlier attempt was applied; returns the revision."""
         ops, conditions = transaction.ops, transaction.conditions
         if transaction.outcome_unknown:
             revision = await self._find_applied(ops, conditions)
@@ -104,7 +108,7 @@
 
     def _note_unknown_outcome(self, transaction: Transaction, error: OutcomeUnknownError) -> None:
         log.info(
-            "outcome of a commit of %d changes unknown, checking it: %s",
+            "outcome of a commit of %d operations unknown, reading its records: %s",
             len(transaction.ops),
             error,
         )
@@ -113,9 +117,11 @@
 
     @staticmethod
     def _note_refusal(transaction: Transaction, error: Exception) -> None:
-        """Log it once for each transaction."""
+        """Log the first refusal of the transaction."""
         if not transaction.refused:
-            log.info("commit of %d changes refused, repeating it: %s", len(transaction.ops), error)
+            log.info(
+                "commit of %d operations refused, repeating it: %s", len(transaction.ops), error
+            )
         transaction.refused = True
 
     async def _resolve_conflict(
@@ -124,8 +130,8 @@
         if self.guard.key in error.failed:
             return Abandoned()
         if transaction.outcome_unknown:
-            # An earlier attempt of this transaction may be what changed the records. Only now,
-            # after a later attempt was refused, is the result of reading them final.
+            # The conflict may come from an earlier attempt of this transaction. Reading the records
+            # is conclusive only now, after a later attempt got a conflict.
             revision = await self.resolve_outcome(transaction.ops, transaction.conditions)
             if revision:
                 return Applied(revision)
@@ -134,12 +140,12 @@
         return Conflicted(error.failed)
 
     async def _find_applied(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
-        """The revision at which an earlier attempt was carried out; 0 if none was.
+        """The revision at which an earlier attempt was applied; 0 if none was.
 
-        All that a transaction writes has one revision, higher than those it depends on. Looking
-        at a single record is not enough: another controller may have created an equal one, which
-        does not show whether the others were written. Nobody else deletes these records, but
-        others may have created anew what the transaction deleted.
+        All records that a transaction writes get the same revision, which is higher than those in
+        its conditions. A single record proves nothing: another controller may have created an
+        equal one. Other controllers do not delete these records, but may have created again those
+        that the transaction deleted.
         """
         newest_condition = max(conditions.values())
         revisions = set()
@@ -156,8 +162,8 @@
         return revisions.pop() if revisions else newest_condition + 1
 
     async def resolve_outcome(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
-        """The revision at which a transaction with unknown outcome was carried out; 0 if it was
-        not, or the writer was stopped. Reads until the state service responds."""
+        """The revision at which a transaction with unknown outcome was applied; 0 if it was not,
+        or if the writer was stopped. Repeats the reads until the state service responds."""
         while not self.state.is_stopped:
             try:
                 return await self._find_applied(ops, conditions)
@@ -166,23 +172,23 @@
         return 0
 
     async def fence(self) -> bool:
-        """Rewrite the guard key, so that no earlier attempt can be carried out any more.
+        """Rewrite the guard key, so that no earlier attempt can be applied any more.
 
-        False if leadership is lost or the writer was stopped.
+        False if leadership was lost or the writer was stopped.
         """
         guard = self.guard
         while not self.state.is_stopped:
             try:
                 item = await self.store.get(guard.key, prioritized=True)
-                # An unknown version with the same value is that of an earlier attempt to rewrite
-                # it, whose outcome was unknown; with another value, it is another controller's.
+                # The same value with an unexpected version comes from an earlier rewrite whose
+                # response was lost. Another value means that another controller owns the key.
                 if item is None or item.value != guard.value:
                     return False
                 rewritten = Put(guard.key, guard.value, guard.lease)
                 guard.version = await self.store.commit({guard.key: item.version}, [rewritten])
                 log.info(
-                    "rewrote %s: a commit with unknown outcome was given up, and must not be "
-                    "carried out late",
+                    "rewrote guard key %s, so that an earlier commit with unknown outcome cannot "
+                    "be applied late",
                     guard.key,
                 )
                 return True
--- a/peathall/store/deferred_writes.py
+++ b/peathall/store/deferred_writes.py
@@ -1,4 +1,4 @@
-"""Writes that wait until the rate limit has capacity to spare."""
+"""Writes that are deferred until the write rate limit has spare capacity."""
 
 from __future__ import annotations
 
@@ -8,62 +8,62 @@
 from peathall import constants
 from peathall.store.mutation import Batch, Mutation
 
-# Makes a mutation of the latest state when it is about to be written; None if there is nothing
-# to write any more.
-MutationMaker = Callable[[], Mutation | None]
+# Creates the mutation from the latest state just before it is written; None if there is nothing
+# left to write.
+MutationFactory = Callable[[], Mutation | None]
 
 
 class DeferredWriter(Protocol):
-    """Accepts writes that may wait: the leader's writer, or the holder of a duty."""
+    """Accepts deferrable writes: the leader's writer, or a client that sends them to a duty holder."""
 
-    def defer(self, name: str, make: MutationMaker, bounded: bool = False) -> None:
-        """Write what `make` returns once there is capacity for it.
+    def defer(self, name: str, make: MutationFactory, bounded: bool = False) -> None:
+        """Write the mutation that `make` returns once there is spare capacity.
 
-        Deferred again under the same name before that, it is written once. The wait of a
-        `bounded` write is limited.
+        Writes deferred under the same name before that are written as one. The wait of a `bounded`
+        write is limited.
         """
 
     def defer_delete(self, key: str) -> None:
-        """Delete a record once there is capacity for it."""
+        """Delete a record once there is spare capacity."""
 
 
 class DeferredWrites:
-    """Queue of deferred writes by name, in the order in which they were deferred."""
+    """Queue of deferred writes, with a unique name each, in the order of their arrival."""
 
     def __init__(self) -> None:
-        self.makers: dict[str, MutationMaker] = {}
-        self._bounded_since: dict[str, float] = {}  # name -> time at which it was deferred
+        self.factories: dict[str, MutationFactory] = {}
+        self._bounded_since: dict[str, float] = {}  # name of a bounded write -> steady time queued
 
     def __bool__(self) -> bool:
-        return bool(self.makers)
+        return bool(self.factories)
 
     def __contains__(self, name: str) -> bool:
-        return name in self.makers
+        return name in self.factories
 
-    def add(self, name: str, make: MutationMaker, bounded: bool, now: float) -> None:
-        """Defer a write under a name that is not in the queue."""
-        self.makers[name] = make
+    def add(self, name: str, make: MutationFactory, bounded: bool, now: float) -> None:
+        """Queue a write under a name that is not queued yet."""
+        self.factories[name] = make
         if bounded:
             self._bounded_since[name] = now
 
     def clear(self) -> None:
-        """Give up all of them."""
-        self.makers.clear()
+        """Discard all queued writes."""
+        self.factories.clear()
         self._bounded_since.clear()
 
     def move_to(self, batch: Batch, spare_ops: float, now: float) -> Mutation | None:
-        """Add writes to the batch while it has space and fewer than `spare_ops` operations are
-        added. Without any to spare, add the one bounded write that has waited for too long.
+        """Move writes to the batch until it is full or `spare_ops` operations have been added.
 
-        Returns a mutation that was made but does not fit. It must be queued: its maker takes
-        it for written.
+        Without a spare operation, only the oldest bounded write is moved, if it has waited for
+        longer than DEFERRED_MAX_WAIT_S. Returns a mutation that was created but does not fit. The
+        caller must queue it, since its factory treats it as written.
         """
         overdue = self._overdue(now) if spare_ops < 1 else None
-        for name in list(self.makers) if overdue is None else [overdue]:
+        for name in list(self.factories) if overdue is None else [overdue]:
             if batch.is_full or (spare_ops < 1 and overdue is None):
                 return None
             self._bounded_since.pop(name, None)
-            mutation = self.makers.pop(name)()
+            mutation = self.factories.pop(name)()
             if mutation is None:
                 continue
             spare_ops -= len(mutation.ops)
@@ -72,6 +72,6 @@
         return None
 
     def _overdue(self, now: float) -> str | None:
-        """The bounded write that has waited longest, if it has waited for too long."""
+        """Name of the oldest bounded write, if it has waited for longer than allowed."""
         name, since = next(iter(self._bounded_since.items()), ("", now))
         return name if now - since > constants.DEFERRED_MAX_WAIT_S else None
--- a/peathall/store/errors.py
+++ b/peathall/store/errors.py
@@ -1,35 +1,35 @@
-"""Errors of the state service and of writing to it."""
+"""Errors of requests to the state service and of writes to it."""
 
 from __future__ import annotations
 
 
 class StateServiceError(Exception):
-    """Root of all errors of this package.
+    """Base class of all errors of this package.
 
-    Callers handle its kinds differently: a `StoreError` says that the service could not be used,
-    which is temporary; the others are results from a working service, or the loss of leadership.
+    A `StoreError` means that a request failed, usually for a temporary reason. The other subclasses
+    are results of a working service, or the loss of leadership.
     """
 
 
 class StoreError(StateServiceError):
-    """The request was not carried out, or its response could not be used."""
+    """The request was not applied, or its response was unusable."""
 
 
 class OutcomeUnknownError(StoreError):
-    """No response: the request may have been carried out, or may yet be."""
+    """No usable response: the request may have been applied, or may still be applied."""
 
 
 class InvalidTransactionError(StoreError):
-    """The service will never carry out this transaction as it is, for example for its size."""
+    """The service can never apply this transaction, for example because it is too large."""
 
 
 class RateLimitError(StoreError):
-    """Refused for the rate of requests or changes: not carried out, and valid at another time, or
-    with fewer changes."""
+    """A rate limit was exceeded. The request was not applied; it may succeed later, or with fewer
+    operations."""
 
 
 class ConflictError(StateServiceError):
-    """Conditions of a transaction did not hold; `failed` names their keys."""
+    """Conditions of a transaction did not hold; `failed` lists their keys."""
 
     def __init__(self, failed: list[str]) -> None:
         super().__init__(f"conditions failed: {failed}")
@@ -37,8 +37,8 @@
 
 
 class LeaseExpiredError(StateServiceError):
-    """The lease has ended."""
+    """The lease has expired."""
 
 
 class LeadershipLostError(StateServiceError):
-    """The guard key belongs to another controller, or the writer was stopped: not written."""
+    """Not written: another controller owns the guard key, or the writer was stopped."""
--- a/peathall/store/mutation.py
+++ b/peathall/store/mutation.py
@@ -1,4 +1,4 @@
-"""Mutations, and batches of them that fit into one transaction."""
+"""Mutations, and batches of mutations that fit into one transaction."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 
 class Mutation:
-    """Puts and deletes that are committed together, under conditions of their own.
+    """Puts and deletes that are committed together, with their conditions.
 
-    `done` gives the revision of the commit, or the error for which nothing was written.
+    `done` yields the revision of the commit, or the error because of which nothing was written.
     """
 
     __slots__ = ("conditions", "done", "ops", "size")
@@ -23,24 +23,24 @@
         self.conditions = conditions  # key -> version; 0: no such record
         self.ops = ops
         self.done: asyncio.Future[int] = asyncio.get_running_loop().create_future()
-        # A caller that does not wait for the result must not cause asyncio's warning.
+        # Retrieves the exception, or asyncio warns when no caller awaits the result.
         self.done.add_done_callback(lambda done: done.cancelled() or done.exception())
         self.size = sum(json_size(operation_to_wire(op)) for op in ops)  # bytes
 
     def then(self, action: Callable[[], None]) -> Mutation:
-        """Run `action` once the mutation is stored, and only then."""
+        """Run `action` once the mutation is stored; never if it fails."""
         self.done.add_done_callback(
             lambda done: None if done.cancelled() or done.exception() else action()
         )
         return self
 
     def touched_keys(self) -> set[str]:
-        """The keys that it writes, deletes or depends on."""
+        """All keys of its operations and conditions."""
         return {op.key for op in self.ops} | set(self.conditions)
 
 
 class Batch:
-    """Mutations for one transaction: within its limits, and none touches another's keys."""
+    """Mutations for one transaction: within its limits, and with no key in common."""
 
     def __init__(self, limits: StateSettings) -> None:
         self.max_ops = limits.max_operations
@@ -53,11 +53,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further operation fits."""
+        """Whether the limit of operations is reached."""
         return self.op_count >= self.max_ops
 
     def add(self, mutation: Mutation) -> bool:
-        """Add the mutation if it fits; the first one always does."""
+        """Add the mutation if it fits; the first one always fits. False if it does not fit."""
         touched = mutation.touched_keys()
         if self.mutations and not self._fits(mutation, touched):
             return False
@@ -78,7 +78,7 @@
 
 
 def fail_mutations(mutations: Iterable[Mutation], error: Exception) -> None:
-    """Settle mutations that will not be written; those already settled stay as they are."""
+    """Fail mutations that will not be written, except those with a result."""
     for mutation in mutations:
         if not mutation.done.done():
             mutation.done.set_exception(error)
@@ -87,7 +87,7 @@
 def partition_by_keys(
     mutations: list[Mutation], keys: list[str]
 ) -> tuple[list[Mutation], list[Mutation]]:
-    """The mutations that touch one of the keys, and the others."""
+    """The mutations that touch any of the keys, and the others."""
     touching: list[Mutation] = []
     others: list[Mutation] = []
     wanted = set(keys)
--- a/peathall/store/phase.py
+++ b/peathall/store/phase.py
@@ -1,4 +1,4 @@
-"""What a writer is doing."""
+"""The phase of a writer, shared with its committer."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class WriterPhase(Enum):
-    """What a writer's one transaction in flight is doing."""
+    """State of the transaction that a writer has in flight."""
 
     IDLE = auto()
     COMMITTING = auto()
-    OUTCOME_UNKNOWN = auto()  # no response to a commit: nothing else is written until it is known
+    OUTCOME_UNKNOWN = auto()  # a commit got no response; other writes wait for its outcome
     STOPPED = auto()
 
 
 class WriterState:
-    """The phase of a writer, which its committer changes too. A stopped writer stays stopped."""
+    """Phase of a writer, changed by the writer and its committer. STOPPED is final."""
 
     def __init__(self) -> None:
         self.phase = WriterPhase.IDLE
 
     @property
     def is_stopped(self) -> bool:
-        """Whether nothing may be written any more."""
+        """Whether no further writes are allowed."""
         return self.phase is WriterPhase.STOPPED
 
     def enter(self, phase: WriterPhase) -> None:
--- a/peathall/store/rate_limits.py
+++ b/peathall/store/rate_limits.py
@@ -1,4 +1,4 @@
-"""The part of the state service's rate limits that one controller may use."""
+"""The share of the state service's rate limits that one controller may use."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 class StoreRateLimits:
-    """Token buckets for requests and for changes (puts and deletes).
+    """Token buckets for requests and for write operations (puts and deletes).
 
-    The limits hold for all controllers together, who do not know of each other's use. So the
-    leader has a fixed share of each limit and its followers have equal parts of the rest: the
-    sum stays within the limit, whatever the number of controllers.
+    The limits apply to all controllers together, which do not know each other's usage. The leader
+    gets a fixed share of each limit and the followers share the rest equally, so the sum stays
+    within the limit for any number of controllers.
     """
 
     def __init__(self, limits: StateSettings, controllers: int, leader_write_share: float) -> None:
@@ -36,31 +36,34 @@
         return leader_share if leading else (1.0 - leader_share) / self.followers
 
     def set_leading(self, leading: bool) -> None:
-        """Use the share of the leader or that of a follower from now on."""
+        """Switch to the share of the leader or of a follower."""
         now = self.loop.time()
         self.requests.set_rate(self._request_rate(leading), now)
         self.writes.set_rate(self._write_rate(leading), now)
 
     def spare_writes(self) -> float:
-        """Changes that deferred writes may make now, with some left for those that can't wait."""
+        """Number of operations that deferred writes may use now; part of a burst stays reserved for
+        other writes."""
         return self.writes.available_to_deferrable(self.loop.time())
 
     async def acquire(self, writes: int = 0, prioritized: bool = False) -> None:
-        """Wait until one request with so many changes may be sent.
+        """Wait until a request with `writes` operations may be sent.
 
-        Reads without priority leave a part of the requests to the others, and fail with
-        StoreError rather than wait for longer than the request's own timeout: the queue would
-        else grow without bound while there are more of them than the limit allows.
+        Reads without priority leave part of the burst to other requests. They raise StoreError
+        rather than wait for longer than the timeout of a request: otherwise the queue would grow
+        without bound while more reads arrive than the limit allows.
         """
         reserve = 0.0 if writes or prioritized else constants.READ_RATE_RESERVE
         deadline = self.loop.time() + constants.STORE_TIMEOUT_S
         while (delay := self.requests.wait(1, self.loop.time(), reserve)) > 0:
             if reserve and self.loop.time() + delay > deadline:
-                raise StoreError("the limit of requests to the state service is reached")
+                raise StoreError(
+                    "read not sent: the request rate limit of the state service is exceeded"
+                )
             await asyncio.sleep(delay)
         while writes and (delay := self.writes.wait(writes, self.loop.time())) > 0:
             await asyncio.sleep(delay)
 
     def count_unlimited_request(self) -> None:
-        """Count a request that is sent without waiting; later ones wait longer for it."""
+        """Count a request that is sent without waiting; later requests wait longer in return."""
         self.requests.force_spend(1, self.loop.time())
--- a/peathall/store/shared_records.py
+++ b/peathall/store/shared_records.py
@@ -1,4 +1,4 @@
-"""Records that hold entries of several jobs, all written in one mutation."""
+"""Records that hold entries of several jobs, written in one mutation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class SharedRecordEntry:
-    """A value that is stored in a record among others, under conditions of its own."""
+    """A value to be stored in a shared record, with its conditions."""
 
     __slots__ = ("conditions", "size", "stored", "value")
 
@@ -23,32 +23,32 @@
         self.conditions = conditions  # key -> version; 0: no such record
         self.size = json_size(value)  # bytes
         self.stored: asyncio.Future[str] = asyncio.get_running_loop().create_future()
-        # A caller that does not wait for the result must not cause asyncio's warning.
+        # Retrieves the exception, or asyncio warns when no caller awaits the result.
         self.stored.add_done_callback(lambda done: done.cancelled() or done.exception())
 
 
 class SharedRecordWriter:
-    """Stores entries in shared records: all that wait when a transaction is put together go into
-    one record, as far as they fit.
+    """Stores entries in shared records.
 
-    A record of its own for each entry would cost a change each, and many small jobs more changes
-    than the rate limit of the state service allows.
+    When a transaction is assembled, all waiting entries that fit go into one record. A separate
+    record for each entry would cost one write operation each, and many small jobs would exceed the
+    write rate limit of the state service.
     """
 
     def __init__(self, writer: Writer, term: int, prefix: str, field: str) -> None:
         self.writer = writer
         self.key_prefix = f"{prefix}{term:08d}-"
-        self.field = field  # of the record, with the list of entries
+        self.field = field  # of the record that holds the list of entries
         self.max_record_size = writer.value_limit  # bytes
-        # The conditions of a transaction are limited to four times its operations; the fourth
-        # part is left for the other mutations in it.
+        # A transaction may have four times as many conditions as operations; a quarter of them is
+        # left to its other mutations.
         self.max_conditions = 3 * writer.limits.txn_ops
-        self._last_number = 0  # of the records written in this term
+        self._last_number = 0  # number of the latest record of this term
         self._waiting: list[SharedRecordEntry] = []
 
     def add(self, value: Any, conditions: dict[str, int] | None = None) -> asyncio.Future[str]:
-        """Store a value. The future gives the key of the record with it, or ConflictError or
-        LeadershipLostError."""
+        """Store a value. The future yields the key of the record that holds it, or raises
+        ConflictError or LeadershipLostError."""
         entry = SharedRecordEntry(value, conditions or {})
         if self.writer.phase is WriterPhase.STOPPED:
             entry.stored.set_exception(LeadershipLostError())
@@ -58,13 +58,13 @@
         return entry.stored
 
     def close(self) -> None:
-        """Cancel the entries that still wait, at the end of the term."""
+        """Cancel the waiting entries at the end of the term."""
         for entry in self._waiting:
             entry.stored.cancel()
         self._waiting.clear()
 
     def _request_write(self) -> None:
-        self.writer.defer_to_next(self.key_prefix, self._make_record)
+        self.writer.defer_to_next_transaction(self.key_prefix, self._make_record)
 
     def _make_record(self) -> Mutation | None:
         entries = self._take_entries()
@@ -83,8 +83,8 @@
         return mutation
 
     def _take_entries(self) -> list[SharedRecordEntry]:
-        """The oldest entries that fit into one record and whose conditions fit into one
-        transaction; at least one if any waits."""
+        """Remove and return the oldest entries that fit into one record and whose conditions fit
+        into one transaction; at least one if any is waiting."""
         entries: list[SharedRecordEntry] = []
         size, conditions = json_size({self.field: []}), set[str]()
         for entry in self._waiting:
@@ -109,7 +109,7 @@
             if error is None:
                 entry.stored.set_result(key)
             elif failed and key not in failed and not failed & entry.conditions.keys():
-                repeated.append(entry)  # only conditions of other entries did not hold
+                repeated.append(entry)  # only conditions of other entries failed
             else:
                 entry.stored.set_exception(error)
         if repeated:
--- a/peathall/store/single_flight.py
+++ b/peathall/store/single_flight.py
@@ -1,4 +1,4 @@
-"""One read that serves all who ask for it at the same time."""
+"""Deduplicates concurrent reads of the same data."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class SingleFlightRead:
-    """Runs at most one read at a time, however many callers ask for one.
+    """Runs at most one read at a time for any number of callers.
 
-    Callers that ask while a read is in progress share the next one, so the data that a caller
-    gets is never older than its request.
+    Callers that arrive while a read is in progress share the next read, so no caller gets data
+    that is older than its call.
     """
 
     def __init__(self, read: Callable[[], Awaitable[None]]) -> None:
@@ -19,11 +19,11 @@
         self._next: asyncio.Task[None] | None = None
 
     async def refresh(self) -> None:
-        """Wait for a read that begins after this call; raises the read's error."""
+        """Wait for a read that begins after this call; raises the error of that read."""
         if self._next is None:
-            # The read under way may have been carried out before this call.
+            # The read in progress may already have fetched its data.
             self._next = asyncio.create_task(self._read_after(self._running))
-            # All its callers may have been cancelled: its error is then nobody's concern.
+            # Retrieves the exception, or asyncio warns when all callers were cancelled.
             self._next.add_done_callback(lambda task: task.cancelled() or task.exception())
         await asyncio.shield(self._next)
 
--- a/peathall/store/token_bucket.py
+++ b/peathall/store/token_bucket.py
@@ -1,12 +1,12 @@
-"""Token buckets for the rate limits of the outside services."""
+"""Token bucket for rate limits."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """Allows `rate` tokens a second, and bursts of `burst` tokens (by default those of one second).
+    """Allows `rate` tokens per second, and bursts of `burst` tokens (default: one second's worth).
 
-    Times are in seconds and come from the caller; the bucket keeps no clock.
+    Callers pass the current time in seconds; the bucket reads no clock.
     """
 
     def __init__(self, rate: float, burst: float | None = None) -> None:
@@ -20,18 +20,18 @@
         self.refilled_at = now
 
     def set_rate(self, rate: float, now: float) -> None:
-        """Change the rate from now on; the burst becomes that of one second."""
+        """Change the rate; the burst becomes the tokens of one second."""
         self._refill(now)
         self.rate = rate
         self.burst = max(1.0, rate)
         self.level = min(self.level, self.burst)
 
     def wait(self, amount: float, now: float, keep: float = 0.0) -> float:
-        """Take `amount` tokens and return 0, or take none and return the seconds until they will
-        be there. The fraction `keep` of a burst is left in the bucket."""
+        """Take `amount` tokens and return 0, or take none and return the seconds until they are
+        available. The share `keep` of a burst is left in the bucket."""
         self._refill(now)
-        # More than a burst never gathers: it is taken from a full bucket, whose level then falls
-        # below zero.
+        # The level never exceeds a burst, so a larger amount is taken from a full bucket, whose
+        # level then becomes negative.
         need = min(amount + keep * self.burst, self.burst)
         if self.level >= need - 1e-9:
             self.level -= amount
@@ -39,12 +39,12 @@
         return (need - self.level) / self.rate
 
     def available_to_deferrable(self, now: float) -> float:
-        """Tokens that may be taken now with half a burst left for what can't wait; negative if
-        there is less than that."""
+        """Tokens that deferrable requests may take now, so that half a burst is left for urgent
+        ones; negative if less than that is left."""
         self._refill(now)
         return self.level - self.burst / 2
 
     def force_spend(self, amount: float, now: float) -> None:
-        """Take tokens whether they are there or not: others wait longer for it."""
+        """Take tokens even if there are too few; later requests wait longer in return."""
         self._refill(now)
         self.level -= amount
--- a/peathall/store/transaction.py
+++ b/peathall/store/transaction.py
@@ -1,4 +1,4 @@
-"""A transaction on its way to the state service, and the key that guards it."""
+"""A transaction being committed, and the guard key that every transaction is conditional on."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class GuardKey:
-    """The record that proves the right to write: the leader key, or that of a duty's holder.
+    """The record that proves the right to write: the leader record, or that of a duty's holder.
 
-    Every transaction is conditional on its version, which changes when the record is rewritten.
+    Every transaction is conditional on its version, so rewriting the record fences off earlier
+    transactions.
     """
 
     __slots__ = ("key", "lease", "value", "version")
@@ -27,19 +28,18 @@
 
 
 class Transaction(Struct):
-    """The mutations of a batch as one transaction, and how its attempts went."""
+    """The mutations of a batch as one transaction, and the state of the attempts to commit it."""
 
     batch: list[Mutation]
     ops: list[Put | Delete]
     conditions: dict[str, int]  # key -> version; 0: no such record
-    outcome_unknown: bool = False  # an attempt without a response may have been, or may yet be,
-    # carried out
-    refused: bool = False
-    rate_refusals: int = 0
+    outcome_unknown: bool = False  # an attempt got no response: applied already, later or never
+    refused: bool = False  # an attempt was refused, and that is logged
+    rate_refusals: int = 0  # attempts that exceeded the rate limit
 
     @property
     def exceeds_rate(self) -> bool:
-        """Whether it was refused for its rate so often that it must have more changes than the
-        rate allows at all, and can be divided."""
+        """Whether it can be divided, and exceeded the rate limit so often that it must have more
+        operations than a full burst."""
         divisible = len(self.batch) > 1 or len(self.ops) > constants.MIN_TRANSACTION_OPS
         return divisible and self.rate_refusals >= constants.RATE_REFUSALS
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -1,9 +1,9 @@
-"""The writer of a leader or of a duty's holder: group commit, one transaction in flight.
+"""Writer of the leader or of a duty holder: group commit with one transaction in flight.
 
-Mutations that arrive while a commit is under way go into the next transaction, so batches grow
-with the load. Every transaction is conditional on the version of the guard key and on those of
-the records that it touches. After a commit with unknown outcome nothing else is written until
-the outcome is known (see `committer`).
+Mutations that arrive during a commit go into the next transaction, so batches grow with the load.
+Every transaction is conditional on the versions of the guard key and of the records that it
+writes. After a commit with unknown outcome nothing else is written until the outcome is known
+(see `committer`).
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
     Rejected,
     TransactionCommitter,
 )
-from peathall.store.deferred_writes import DeferredWrites, MutationMaker
+from peathall.store.deferred_writes import DeferredWrites, MutationFactory
 from peathall.store.errors import ConflictError, LeadershipLostError
 from peathall.store.mutation import Batch, Mutation, fail_mutations, partition_by_keys
 from peathall.store.phase import WriterPhase, WriterState
@@ -33,10 +33,10 @@
     """Queues mutations and commits them in batches, one transaction at a time.
 
     `lease_is_valid` tells whether a commit may be sent now; `on_leadership_lost` is called when
-    the guard key is found to be another controller's. With `fence_unknown_outcomes` the guard
-    key is rewritten after every commit whose outcome was unknown for some time, even if it was
-    carried out in the end: what it wrote may be deleted before an earlier attempt of it is
-    carried out late, whose conditions would then hold once more.
+    another controller owns the guard key. With `fence_unknown_outcomes` the guard key is rewritten
+    after every commit that had an attempt without a response, even if it was applied in the end:
+    once its records are deleted, the conditions of that attempt could hold again, and it could be
+    applied late.
     """
 
     def __init__(
@@ -50,38 +50,38 @@
     ) -> None:
         self.store = store
         self.limits = limits
-        self.value_limit = int(limits.value_kb * 1024 * constants.VALUE_FILL)  # bytes of a value
+        self.value_limit = int(limits.value_kb * 1024 * constants.VALUE_FILL)  # bytes
         self.guard = guard
         self.lease_is_valid = lease_is_valid
         self.on_leadership_lost = on_leadership_lost
         self.fence_unknown_outcomes = fence_unknown_outcomes
         self.loop = asyncio.get_running_loop()
         self.queue: list[Mutation] = []
-        self.next_makers: dict[str, MutationMaker] = {}  # see defer_to_next()
+        self.next_factories: dict[str, MutationFactory] = {}  # for the next transaction, by name
         self.deferred = DeferredWrites()
         self.wake = asyncio.Event()
-        self.versions: dict[str, int] = {}  # of the records as last read or written
+        self.versions: dict[str, int] = {}  # key -> version as last read or written
         self._state = WriterState()
         self._committer = TransactionCommitter(store, guard, self._state)
 
     @property
     def phase(self) -> WriterPhase:
-        """What the transaction in flight is doing."""
+        """State of the transaction in flight."""
         return self._state.phase
 
     @property
     def has_pending_writes(self) -> bool:
-        """Whether anything waits for a transaction."""
-        return bool(self.queue or self.next_makers or self.deferred)
+        """Whether any mutation waits for a transaction."""
+        return bool(self.queue or self.next_factories or self.deferred)
 
     def submit(
         self, ops: list[Put | Delete], conditions: dict[str, int] | None = None
     ) -> asyncio.Future[int]:
-        """Queue a mutation. Its future gives the revision, or ConflictError,
+        """Queue a mutation. The future yields the revision, or raises ConflictError,
         InvalidTransactionError or LeadershipLostError.
 
-        Keys without a condition of their own are conditional on the version that this writer
-        knows of them (0: never written).
+        Written keys that `conditions` does not name must have the version that this writer last
+        saw (0: none).
         """
         mutation = Mutation(conditions or {}, ops)
         if self._state.is_stopped:
@@ -92,50 +92,50 @@
         return mutation.done
 
     def enqueue(self, mutations: list[Mutation]) -> None:
-        """Queue mutations that were made elsewhere."""
+        """Queue mutations that the caller has created."""
         self.queue += mutations
         self.wake.set()
 
-    def defer_to_next(self, name: str, make: MutationMaker) -> None:
-        """Call `make` for its mutation when the next transaction is put together, before all
-        others: what it collects until then can share one record."""
+    def defer_to_next_transaction(self, name: str, make: MutationFactory) -> None:
+        """Add the mutation that `make` returns when the next transaction is assembled, before all
+        others. Entries collected until then can share one record."""
         if not self._state.is_stopped:
-            self.next_makers[name] = make
+            self.next_factories[name] = make
             self.wake.set()
 
-    def defer(self, name: str, make: MutationMaker, bounded: bool = False) -> None:
-        """Call `make` for its mutation once the rate limit has capacity to spare.
+    def defer(self, name: str, make: MutationFactory, bounded: bool = False) -> None:
+        """Write the mutation that `make` returns once the write rate limit has spare capacity.
 
-        Deferred again under the same name before that, it is still written once, in its latest
-        state: the busier the state service, the fewer such writes. A `bounded` write that has
-        waited for DEFERRED_MAX_WAIT_S is written anyway, one with each transaction.
+        Writes deferred under the same name before that are written once, in the latest state, so
+        a busy state service gets fewer of them. A `bounded` write that has waited for
+        DEFERRED_MAX_WAIT_S is written in any case, at most one per transaction.
         """
         if not self._state.is_stopped and name not in self.deferred:
             self.deferred.add(name, make, bounded, self.loop.time())
             self.wake.set()
 
     def defer_delete(self, key: str) -> None:
-        """Delete a record once the rate limit has capacity to spare."""
+        """Delete a record once the write rate limit has spare capacity."""
         self.defer(f"drop {key}", lambda: Mutation({}, [Delete(key)]))
 
     def stop(self) -> None:
-        """End the writer for good: what is queued fails with LeadershipLostError."""
+        """Stop for good; queued mutations fail with LeadershipLostError."""
         self._state.enter(WriterPhase.STOPPED)
-        self.next_makers.clear()
+        self.next_factories.clear()
         self.deferred.clear()
         fail_mutations(self.queue, LeadershipLostError())
         self.queue.clear()
         self.wake.set()
 
     async def run(self) -> None:
-        """Write what is queued, until stopped."""
+        """Commit queued mutations until the writer is stopped."""
         while not self._state.is_stopped:
             if not self.has_pending_writes:
                 self.wake.clear()
                 await self.wake.wait()
                 continue
             if not self.lease_is_valid():
-                # The lease may yet be renewed, so what is queued stays.
+                # Queued mutations stay, since the lease may still be renewed.
                 await asyncio.sleep(constants.STORE_RETRY_S)
                 continue
             batch = self._next_batch()
@@ -147,7 +147,7 @@
             self._state.enter(WriterPhase.IDLE)
 
     async def _wait_for_capacity(self) -> None:
-        """Only deferred writes are left, and the rate limit has no capacity to spare."""
+        """Wait before the next attempt, when only deferred writes are left and none may be sent."""
         self.wake.clear()
         try:
             await asyncio.wait_for(self.wake.wait(), constants.DEFERRED_POLL_S)
@@ -155,11 +155,11 @@
             pass
 
     def _next_batch(self) -> list[Mutation]:
-        """The oldest mutations that fit into one transaction and touch no key twice, and deferred
-        writes if there is capacity for them."""
+        """Take the oldest mutations that fit into one transaction without a key in common, and
+        deferred writes as far as the rate limit has spare capacity."""
         batch = Batch(self.limits)
-        for name in list(self.next_makers):
-            mutation = self.next_makers.pop(name)()
+        for name in list(self.next_factories):
+            mutation = self.next_factories.pop(name)()
             if mutation is not None and not batch.add(mutation):
                 self.queue.insert(0, mutation)
         taken = 0
@@ -186,7 +186,7 @@
         return Transaction(batch, ops, conditions)
 
     async def _commit(self, batch: list[Mutation]) -> None:
-        """Commit the batch, and settle its mutations."""
+        """Commit the batch and set the results of its mutations."""
         match await self._committer.commit(self._transaction(batch)):
             case Applied(revision, attempt_pending):
                 self.mark_applied(batch, revision)
@@ -198,7 +198,7 @@
             case Rejected(error):
                 await self._commit_one_by_one(batch, error)
             case Conflicted(keys):
-                # A record is not as this writer knew it: only what depends on it fails.
+                # Only mutations that touch the changed records fail; the others are queued again.
                 conflicting, others = partition_by_keys(batch, keys)
                 fail_mutations(conflicting, ConflictError(keys))
                 self.queue[:0] = others
@@ -206,8 +206,8 @@
                 self._abandon(batch)
 
     async def _commit_one_by_one(self, batch: list[Mutation], error: Exception) -> None:
-        """After a rejection: repeating the batch would block all later ones. Whichever
-        mutation is the cause, the others are committed without it."""
+        """Commit each mutation of a rejected batch on its own, so that only those fail that cause
+        the rejection. Repeating the batch would block all later ones."""
         if len(batch) == 1:
             fail_mutations(batch, error)
             return
@@ -220,12 +220,12 @@
             self.on_leadership_lost()
 
     async def resolve_outcome(self, ops: list[Put | Delete], conditions: dict[str, int]) -> int:
-        """The revision at which a transaction that another controller sent was carried out; 0 if
-        it was not."""
+        """The revision at which a transaction sent by another controller was applied; 0 if it was
+        not."""
         return await self._committer.resolve_outcome(ops, conditions)
 
     def mark_applied(self, batch: list[Mutation], revision: int) -> None:
-        """Settle mutations that were stored at this revision, and note the versions."""
+        """Set the results of mutations stored at this revision, and record the new versions."""
         for mutation in batch:
             for op in mutation.ops:
                 if isinstance(op, Put):
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -56,7 +56,7 @@
             for image in range(6):
                 machine.images[f"img-{image:02d}"] = 7.5
             caches.changed(machine)
-        records = [make() for make in writer.deferred.makers.values()]
+        records = [make() for make in writer.deferred.factories.values()]
         values = [op.value for change in records if change for op in change.ops
                   if isinstance(op, Put)]  # fmt: skip
         kept = {name: images for value in values for name, images in value["machines"].items()}
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -195,7 +195,7 @@
             faulty.cluster, faulty.faults, Writer(nothing, LIMITS, lead(), bool, bool)
         )
         faulty.start(job, ["m-0", "m-1", "m-2"], 0.0)
-        (make,) = record.writer.deferred.makers.values()
+        (make,) = record.writer.deferred.factories.values()
         change = make()
         assert change is not None
         (put,) = change.ops
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -361,7 +361,7 @@
             for image in range(20):
                 machine.images[f"img-{image:02d}"] = 1.0 + image / 7
             caches.changed(machine)
-        records = [make() for make in writer.deferred.makers.values()]
+        records = [make() for make in writer.deferred.factories.values()]
         assert len(records) == constants.CACHE_RECORDS
         later = ImageCacheRecords(
             workers.cluster, Writer(None, store, lead(), lambda: True, lambda: None)
