--- a/peathall/store/deferred_writes.py
+++ b/peathall/store/deferred_writes.py
@@ -14,7 +14,8 @@
 
 
 class DeferredWriter(Protocol):
-    """Accepts deferrable writes: the leader's writer, or a client that sends them to a duty holder."""
+    """Accepts deferrable writes: the leader's writer, or a client that sends them to a holder of a
+    duty."""
 
     def defer(self, name: str, make: MutationFactory, bounded: bool = False) -> None:
         """Write the mutation that `make` returns once there is spare capacity.
