--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -48,7 +48,7 @@
 
     async def _ask(self, method: str, path: str, value: Any = None, keep: float = 0.0) -> Any:
         """The decoded answer; `keep` is the part of the burst to be left to other requests."""
-        while (pause := self._rate_limit.wait(1, self._loop.time(), keep)) > 0:
+        while (pause := self._rate_limit.try_acquire(1, self._loop.time(), keep)) > 0:
             await asyncio.sleep(pause)
         data = b"" if value is None else codec.cbor_bytes(value)
         try:
--- a/peathall/cluster/job.py
+++ b/peathall/cluster/job.py
@@ -83,7 +83,7 @@
         return self.phase is AttemptPhase.RUNNING
 
     @property
-    def is_leaving(self) -> bool:
+    def is_ending(self) -> bool:
         """Whether its capacity will be free soon: it is being stopped, or its job has ended."""
         return self.stopping or self.job.phase is not JobPhase.ACTIVE
 
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -55,14 +55,14 @@
         self.usage: dict[str, list[float]] = {}  # team -> CPUs and GPUs allocated
         # Round key -> its attempts that have not ended, in order of allocation.
         self.rounds: dict[str, dict[Attempt, None]] = {}
-        self.next_attempt = first_attempt  # the latest attempt number assigned
+        self.last_attempt_number = first_attempt  # the latest attempt number assigned
         self.last_submission_at = -1e9  # steady time at which the latest job was added
         self.listener = listener or NullClusterListener()
 
     def new_attempt_number(self) -> int:
         """A number that no attempt of this term or an earlier one has."""
-        self.next_attempt += 1
-        return self.next_attempt
+        self.last_attempt_number += 1
+        return self.last_attempt_number
 
     def note_archived(self, job_id: str, status: JobStatus) -> None:
         """Cache the final status of an archived job.
@@ -70,7 +70,7 @@
         The oldest entries are evicted; queries for those jobs read the state service.
         """
         self.archived[job_id] = status
-        if len(self.archived) > constants.REMEMBERED_JOBS:
+        if len(self.archived) > constants.FINAL_STATUS_CACHE_JOBS:
             del self.archived[next(iter(self.archived))]
 
     def machine(
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -34,24 +34,24 @@
 STORE_RETRY_S = 0.25  # pause after 429, 503 or no response; limits the requests in an outage
 LEADER_RPS_SHARE = 0.4  # of the request rate; the rest is for watches and reads of followers
 LEADER_WRITE_SHARE = 0.75  # of the write rate; the rest is for followers while no leader answers
-REMEMBERED_JOBS = 20_000  # jobs whose final status is cached, some 300 bytes each
+FINAL_STATUS_CACHE_JOBS = 20_000  # jobs whose final status is cached, some 300 bytes each
 DEFERRED_POLL_S = 0.25  # between checks whether the write rate has capacity for deferred writes
 # Deferred writes with a bounded wait are written after this even without spare capacity: workers
 # report an exited task until its end is stored, and the size of a heartbeat is limited.
 DEFERRED_MAX_WAIT_S = 3.0
 # Jobs of one record that are archived in one mutation: together with the rewritten record no more
 # operations than a busy state service has to spare.
-ARCHIVE_AT_ONCE = 3
+ARCHIVE_BATCH_JOBS = 3
 WATCH_HOLD_S = 6.0  # a silent partition is noticed after this plus the timeout
-VALUE_FILL = 0.85  # of value_kb is used, since the service measures values in another encoding
+VALUE_SIZE_SHARE = 0.85  # of value_kb is used: the service measures values in another encoding
 # Operations of the largest indivisible transaction: a job's final status, the record without the
 # job, and the record in which another controller accepted it.
 MIN_TRANSACTION_OPS = 3
 # Refusals of one transaction for its rate, STORE_RETRY_S apart. A full burst builds up within one
 # second, so a transaction refused for longer has more operations than the rate ever allows.
-RATE_REFUSALS = 8
-TXN_CONDITIONS = 4  # times txn_ops: limit of conditions in one transaction (protocol)
-TXN_BYTES = 48 * 1024  # of one transaction, with a margin to the protocol's 64 KiB
+MAX_RATE_REFUSALS = 8
+TXN_CONDITIONS_PER_OP = 4  # limit of conditions in one transaction, times txn_ops (protocol)
+MAX_TXN_BYTES = 48 * 1024  # of one transaction, with a margin to the protocol's 64 KiB
 
 # --- leadership ---------------------------------------------------------------------------------
 LEADER_LEASE_TTL_S = 3.0  # failover waits this long; one slow renewal must not lose leadership
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -113,7 +113,7 @@
         for job in filter(self.can_archive, jobs):
             external = records.JOB + job.spec.id
             operations_left -= 1 + (external in self.writer.versions and external != record_key)
-            if operations_left < 0 or len(chosen) == constants.ARCHIVE_AT_ONCE:
+            if operations_left < 0 or len(chosen) == constants.ARCHIVE_BATCH_JOBS:
                 break
             chosen.append(job)
         return chosen
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -100,6 +100,6 @@
         response = responses.found(encode_job_status(job_id, final.status, final.done))
         self._final_responses[job_id] = response
         self._final_responses.move_to_end(job_id)
-        if len(self._final_responses) > constants.REMEMBERED_JOBS:
+        if len(self._final_responses) > constants.FINAL_STATUS_CACHE_JOBS:
             self._final_responses.popitem(last=False)
         return response
--- a/peathall/jobs/records.py
+++ b/peathall/jobs/records.py
@@ -61,7 +61,7 @@
 def block_tasks(value_kb: float) -> int:
     """Tasks of one block, so that its record fits into a value of that many KiB."""
     # In the worst case every second task is done, which makes half as many ranges.
-    return max(2, int(value_kb * 1024 * constants.VALUE_FILL / RANGE_BYTES) * 2)
+    return max(2, int(value_kb * 1024 * constants.VALUE_SIZE_SHARE / RANGE_BYTES) * 2)
 
 
 def done_key(job_id: str, block: int, size: int) -> str:
--- a/peathall/placement/eviction.py
+++ b/peathall/placement/eviction.py
@@ -41,7 +41,7 @@
         """Reserve the capacity of the replica's next machine, and stop it."""
         job = self.cluster.jobs.get(move.job)
         attempt = job.attempts.get(move.task) if job is not None else None
-        if attempt is None or attempt.is_leaving:  # it ended while the round was decided
+        if attempt is None or attempt.is_ending:  # it ended while the round was decided
             return
         log.info(
             "replica %s/%d moves from %s, which is being drained, to %s",
@@ -61,7 +61,7 @@
         left_s = (machine.reclaimed_at or now) - now
         for attempt in list(machine.attempts.values()):
             spec = attempt.job.spec
-            if attempt.is_leaving or spec.daemon:
+            if attempt.is_ending or spec.daemon:
                 continue
             rest_s = max(
                 spec.expected_s - (now - attempt.since), spec.expected_s * constants.ESTIMATE_FLOOR
--- a/peathall/placement/machine_views.py
+++ b/peathall/placement/machine_views.py
@@ -86,7 +86,7 @@
     def _detail(self, machine: Machine) -> MachineDetail:
         cpus = gpus = ram = 0.0
         for attempt in machine.attempts.values():
-            if attempt.is_leaving:
+            if attempt.is_ending:
                 spec = attempt.job.spec
                 cpus, gpus, ram = cpus + spec.cpus, gpus + spec.gpus, ram + spec.ram
         victims = self.victims.on_machine(machine, self.context.now)
--- a/peathall/placement/reservations.py
+++ b/peathall/placement/reservations.py
@@ -94,5 +94,5 @@
     if job is None:
         return reservation.for_other_cell  # the job has not been handed off to us yet
     attempt = job.attempts.get(reservation.task)
-    has_started = attempt is not None and not attempt.is_leaving
+    has_started = attempt is not None and not attempt.is_ending
     return job.phase is JobPhase.ACTIVE and not has_started
--- a/peathall/placement/victims.py
+++ b/peathall/placement/victims.py
@@ -34,7 +34,7 @@
             spec = job.spec
             if spec.team != team or not job.attempts:
                 continue
-            leaving = sum(1 for attempt in job.attempts.values() if attempt.is_leaving)
+            leaving = sum(1 for attempt in job.attempts.values() if attempt.is_ending)
             cpus, gpus = cpus + spec.cpus * leaving, gpus + spec.gpus * leaving
             if spec.priority > priority and leaving < len(job.attempts):
                 units += self._units(job)
@@ -54,7 +54,7 @@
 
     def _victim(self, attempt: Attempt, machine: Machine, now: float) -> Victim | None:
         """The attempt as a victim; None if it must not be preempted."""
-        if attempt.is_leaving:
+        if attempt.is_ending:
             return None
         spec = attempt.job.spec
         ran_s = now - attempt.since if attempt.running else 0.0
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -49,7 +49,7 @@
         self.http = HttpClient(addr)
         self.watch_http = HttpClient(addr)  # separate, since a watch occupies its connection
         self.loop = asyncio.get_running_loop()
-        self.last_good = -1e9  # steady time of the last response other than 429 or 503
+        self.last_response_at = -1e9  # steady time of the last response other than 429 or 503
         self.failing = False  # the latest request got no response, or 503
 
     def set_leading(self, leading: bool) -> None:
@@ -58,7 +58,9 @@
 
     def is_fresh(self) -> bool:
         """Whether the service has responded recently, so that data from a watch is up to date."""
-        return self.loop.time() - self.last_good < constants.STORE_FRESH_S and not self.failing
+        return (
+            self.loop.time() - self.last_response_at < constants.STORE_FRESH_S and not self.failing
+        )
 
     def spare_writes(self) -> float:
         """Number of operations that deferred writes may use now."""
@@ -84,7 +86,7 @@
         if status == HTTPStatus.SERVICE_UNAVAILABLE:
             self.failing = True
             raise StoreError(f"state service unavailable: status {status}")
-        self.last_good = self.loop.time()
+        self.last_response_at = self.loop.time()
         self.failing = False
         try:
             return StoreResponse(status, codec.cbor_any(raw))
--- a/peathall/store/mutation.py
+++ b/peathall/store/mutation.py
@@ -44,7 +44,7 @@
 
     def __init__(self, limits: StateSettings) -> None:
         self.max_ops = limits.max_operations
-        self.max_conditions = constants.TXN_CONDITIONS * limits.txn_ops
+        self.max_conditions = constants.TXN_CONDITIONS_PER_OP * limits.txn_ops
         self.mutations: list[Mutation] = []
         self.op_count = 0
         self._size = 0  # bytes
@@ -71,7 +71,7 @@
     def _fits(self, mutation: Mutation, touched: set[str]) -> bool:
         return (
             self.op_count + len(mutation.ops) <= self.max_ops
-            and self._size + mutation.size <= constants.TXN_BYTES
+            and self._size + mutation.size <= constants.MAX_TXN_BYTES
             and self._condition_count + len(touched) < self.max_conditions
             and not touched & self._keys
         )
--- a/peathall/store/rate_limits.py
+++ b/peathall/store/rate_limits.py
@@ -55,13 +55,13 @@
         """
         reserve = 0.0 if writes or prioritized else constants.READ_RATE_RESERVE
         deadline = self.loop.time() + constants.STORE_TIMEOUT_S
-        while (delay := self.requests.wait(1, self.loop.time(), reserve)) > 0:
+        while (delay := self.requests.try_acquire(1, self.loop.time(), reserve)) > 0:
             if reserve and self.loop.time() + delay > deadline:
                 raise StoreError(
                     "read not sent: the request rate limit of the state service is exceeded"
                 )
             await asyncio.sleep(delay)
-        while writes and (delay := self.writes.wait(writes, self.loop.time())) > 0:
+        while writes and (delay := self.writes.try_acquire(writes, self.loop.time())) > 0:
             await asyncio.sleep(delay)
 
     def count_unlimited_request(self) -> None:
--- a/peathall/store/token_bucket.py
+++ b/peathall/store/token_bucket.py
@@ -26,13 +26,13 @@
         self.burst = max(1.0, rate)
         self.level = min(self.level, self.burst)
 
-    def wait(self, amount: float, now: float, keep: float = 0.0) -> float:
+    def try_acquire(self, amount: float, now: float, reserve_share: float = 0.0) -> float:
         """Take `amount` tokens and return 0, or take none and return the seconds until they are
-        available. The share `keep` of a burst is left in the bucket."""
+        available. The share `reserve_share` of a burst is left in the bucket."""
         self._refill(now)
         # The level never exceeds a burst, so a larger amount is taken from a full bucket, whose
         # level then becomes negative.
-        need = min(amount + keep * self.burst, self.burst)
+        need = min(amount + reserve_share * self.burst, self.burst)
         if self.level >= need - 1e-9:
             self.level -= amount
             return 0.0
--- a/peathall/store/transaction.py
+++ b/peathall/store/transaction.py
@@ -42,4 +42,4 @@
         """Whether it can be divided, and exceeded the rate limit so often that it must have more
         operations than a full burst."""
         divisible = len(self.batch) > 1 or len(self.ops) > constants.MIN_TRANSACTION_OPS
-        return divisible and self.rate_refusals >= constants.RATE_REFUSALS
+        return divisible and self.rate_refusals >= constants.MAX_RATE_REFUSALS
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -50,7 +50,7 @@
     ) -> None:
         self.store = store
         self.limits = limits
-        self.value_limit = int(limits.value_kb * 1024 * constants.VALUE_FILL)  # bytes
+        self.value_limit = int(limits.value_kb * 1024 * constants.VALUE_SIZE_SHARE)  # bytes
         self.guard = guard
         self.lease_is_valid = lease_is_valid
         self.on_leadership_lost = on_leadership_lost
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -64,7 +64,7 @@
         next heartbeat, whose answer carries all of them: the more there is to start, the more
         requests that saves.
         """
-        if deferrable and self.deferrable.wait(1, self.loop.time()) > 0:
+        if deferrable and self.deferrable.try_acquire(1, self.loop.time()) > 0:
             return
         if machine.addr and machine.name not in self.under_way and self.is_leader():
             self.under_way[machine.name] = self.loop.create_task(self._deliver(machine))
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -539,7 +539,7 @@
 def test_paths_without_a_leader(method: str, path: str, status: str, value: Any, more: Any) -> None:
     async def play() -> None:
         node = new_node()
-        node.store.last_good = node.loop.time()  # not cut off: connections stay open
+        node.store.last_response_at = node.loop.time()  # not cut off: connections stay open
         check_response(await from_outside(node, method, path), status, value, more=more)
 
     run(play)
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -198,7 +198,7 @@
         for stored in range(len(values)):
             workers = new_workers(now)
             workers.cluster.term = TERM + 1
-            workers.cluster.next_attempt = first_attempt(TERM + 1)
+            workers.cluster.last_attempt_number = first_attempt(TERM + 1)
             wide_gang(workers, 130)
             gang = workers.cluster.jobs["j-2"]
             placement = new_placement(workers, writer)
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -239,13 +239,13 @@
     bucket = TokenBucket(10.0)
     now, spent = 0.0, 0
     while now < 20.0:
-        pause = bucket.wait(1, now)
+        pause = bucket.try_acquire(1, now)
         spent += pause == 0
         now += pause
     assert 200 <= spent <= 211
     # More than a burst is allowed from a full bucket, rather than never.
-    assert bucket.wait(25, now + 5) == 0.0
-    assert bucket.wait(1, now + 5) > 1.0
+    assert bucket.try_acquire(25, now + 5) == 0.0
+    assert bucket.try_acquire(1, now + 5) > 1.0
 
 
 def test_the_leader_lease_counts_from_sending_the_renewal() -> None:
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -248,7 +248,7 @@
 async def leading(store: RecordingStore) -> AsyncIterator[Jobs]:
     """A leader's jobs in term 7 whose writer runs; a machine type and two machines are known."""
     jobs = leader(store, TERM)
-    jobs.cluster.next_attempt = first_attempt(TERM)
+    jobs.cluster.last_attempt_number = first_attempt(TERM)
     jobs.cluster.types = {"g": machine_type()}
     for name in ("m-1", "m-2"):
         jobs.cluster.machine(name, "g", "a", True, MachinePhase.UP, 0.0)
