--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -54,14 +54,16 @@
 TXN_BYTES = 48 * 1024  # of one transaction, kept clear of the protocol's 64 KiB
 
 # --- leadership ---------------------------------------------------------------------------------
-LEADER_LEASE_TTL_S = 3.0  # failover waits this long; one slow renewal must not lose leadership
-LEADER_RENEW_S = 0.7  # four attempts to renew fit into one lease
-CLOCK_DRIFT = 0.0005  # part; the steady clocks of two machines differ by up to 0.05%
-LEADER_LEASE_MARGIN_S = 0.3  # a message sent just before expiry must have left by then
-CAMPAIGN_JITTER_S = 0.25  # spreads the candidates, so that the first attempt usually wins
+LEADER_LEASE_TTL_S = 3.0  # failover waits this long; one slow renewal must not lose the lease
+LEADER_RENEW_S = 0.7  # between renewals: four attempts fit into one lease
+CLOCK_DRIFT = 0.0005  # fraction; the monotonic clocks of two machines differ by up to 0.05%
+LEADER_LEASE_MARGIN_S = 0.3  # time for a message to leave that is sent just before expiry
+CAMPAIGN_JITTER_S = 0.25  # at most; spreads the campaigns, so that the first one usually wins
 CAMPAIGN_REFUSED_RETRY_S = 2.0  # between campaigns that fail until operators change a setting
-RESIGN_BACKOFF_S = 25.0  # a leader that workers could not reach does not campaign for this long
-LEADERLESS_BACKOFF_S = 6.0  # ... unless there has been no leader for this long
+# No campaigns for this long after resigning because workers could not reach this controller, or
+# after a term that failed.
+RESIGN_BACKOFF_S = 25.0
+LEADERLESS_BACKOFF_S = 6.0  # the backoff ends early once nobody has led for this long
 
 # --- workers ------------------------------------------------------------------------------------
 LEASE_EXPIRY_MARGIN_S = 1.0  # over the lease and the drift, for late timers of this process
--- a/peathall/leadership/campaign.py
+++ b/peathall/leadership/campaign.py
@@ -23,25 +23,28 @@
 
 
 class CampaignTerms(Struct, frozen=True):
-    """What a campaign depends on besides the leader key, and what it writes besides it."""
+    """Additions to the transaction of a campaign, besides the leader key and the term."""
 
-    conditions: dict[str, int]  # keys and the versions that they must have; 0: no such key
+    conditions: dict[str, int]  # required version of each key; 0: the key must not exist
     puts: list[Put] = field(default_factory=list)
-    delegates: bool = False  # the winner acts on the cloud through the holders of duties
+    delegates: bool = False  # whether the elected leader delegates work to the holders of duties
 
 
 class CampaignGate(Protocol):
     """Decides on what conditions this controller may become leader."""
 
     async def terms(self) -> CampaignTerms:
-        """Those of the next campaign; StoreError if they cannot be read."""
+        """The requirements of the next campaign; raises StoreError if they cannot be read."""
 
     def refused(self, failed: list[str]) -> bool:
-        """Whether these keys, whose conditions failed, will fail the next campaign as well."""
+        """Whether campaigns will fail until an operator changes a setting.
+
+        `failed` are the keys whose conditions did not hold in the last campaign.
+        """
 
 
 class Campaign:
-    """Campaigns of one controller, one after another."""
+    """Runs the campaigns of one controller, one at a time."""
 
     def __init__(self, name: str, store: StoreClient, gate: CampaignGate, cells: Mode) -> None:
         self.name = name
@@ -51,42 +54,42 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self) -> LeaderTerm | None:
-        """The term, if the election was won; None if not. StoreError if that is not known.
+        """Return the new term, or None if the election was lost; StoreError if neither is known.
 
-        After a StoreError the transaction may have been carried out. The leader key then names
-        this controller, which revokes that lease when it next reads the key; the term number is
-        skipped.
+        After a StoreError the transaction may have been committed. The leader key then names
+        this controller, which revokes the key's lease when it next reads the key. No leader ever
+        acts in that term.
         """
-        terms = await self.gate.terms()
+        requirements = await self.gate.terms()
         term_key_value = await self.store.get(TERM_KEY, prioritized=True)
         previous = (
             msgspec.convert(term_key_value.value, TermRecord) if term_key_value else TermRecord()
         )
         if previous.cells and self.cells is Mode.OFF:
             log.error(
-                "leadership: no campaign, cells are on in the state service and off in the"
-                " settings of this controller"
+                "leadership: this controller does not campaign: cells are enabled in the state"
+                " service, but off in its settings"
             )
             await asyncio.sleep(constants.CAMPAIGN_REFUSED_RETRY_S)
             return None
         term_version = term_key_value.version if term_key_value else 0
-        term_record = TermRecord(previous.n + 1, previous.cells or self.cells is Mode.ON)
-        return await self._commit(terms, term_record, term_version)
+        term_record = TermRecord(previous.number + 1, previous.cells or self.cells is Mode.ON)
+        return await self._commit(requirements, term_record, term_version)
 
     async def _commit(
-        self, terms: CampaignTerms, term_record: TermRecord, term_version: int
+        self, requirements: CampaignTerms, term_record: TermRecord, term_version: int
     ) -> LeaderTerm | None:
-        """Write both records, on the condition that nobody leads and no term was added."""
+        """Write both records, provided that nobody leads and no term was added meanwhile."""
         sent = self.loop.time()
         lease_id = await self.store.grant_lease(constants.LEADER_LEASE_TTL_S)
-        record = msgspec.to_builtins(LeaderRecord(self.name, term_record.n, lease_id))
+        record = msgspec.to_builtins(LeaderRecord(self.name, term_record.number, lease_id))
         try:
             version = await self.store.commit(
-                {LEADER_KEY: 0, TERM_KEY: term_version, **terms.conditions},
+                {LEADER_KEY: 0, TERM_KEY: term_version, **requirements.conditions},
                 [
                     Put(LEADER_KEY, record, lease_id),
                     Put(TERM_KEY, msgspec.to_builtins(term_record)),
-                    *terms.puts,
+                    *requirements.puts,
                 ],
             )
         except (ConflictError, LeaseExpiredError) as exc:
@@ -96,4 +99,4 @@
             return None
         leader_key = GuardKey(LEADER_KEY, record, version, lease_id)
         lease = LeaderLease(constants.LEADER_LEASE_TTL_S, sent)
-        return LeaderTerm(term_record.n, leader_key, lease_id, lease, terms.delegates)
+        return LeaderTerm(term_record.number, leader_key, lease_id, lease, requirements.delegates)
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -1,7 +1,8 @@
-"""A controller's part in the election: follower, candidate, leader, or in backoff.
+"""A controller's role in the election: follower, candidate, leader, or in backoff.
 
-A follower watches the leader key and starts a campaign once the key is gone. The leader renews
-its lease until the lease expires, until it steps down, or until what it runs as leader ends.
+A follower watches the leader key and starts a campaign once the key is deleted. A leader renews
+its lease until the lease expires, until it steps down, or until the leader's own code returns or
+fails.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 
 log = logging.getLogger("peathall.leadership")
 
-BACKOFF_POLL_S = 0.5  # s; between reads of the leader key in backoff, while nobody leads
+BACKOFF_POLL_S = 0.5  # between reads of the leader key in backoff while nobody leads
 
 
 class ElectionPhase(Enum):
-    """A controller's part in the election."""
+    """A controller's role in the election."""
 
-    FOLLOWER = auto()  # another controller leads, or it is not known which
+    FOLLOWER = auto()  # another controller leads, or the leader is not known
     CANDIDATE = auto()  # a campaign is under way
     LEADER = auto()
-    BACKOFF = auto()  # it resigned, or its term failed: another controller should lead
+    BACKOFF = auto()  # after resigning or after a failed term: another controller should lead
 
 
 class Election:
-    """Campaigns when nobody leads, holds the term while it leads, and steps down."""
+    """Campaigns when nobody leads, renews the lease while it leads, and steps down."""
 
     def __init__(
         self,
@@ -48,7 +49,10 @@
         gate: CampaignGate,
         cells: Mode = Mode.OFF,
     ) -> None:
-        """`lead` runs while this controller leads; it may return earlier, which ends the term."""
+        """`lead` runs for each term that is won, and is cancelled when the term ends.
+
+        If `lead` returns or fails earlier, the term ends.
+        """
         self.name = name
         self.store = store
         self.lead = lead
@@ -56,13 +60,13 @@
         self.campaign = Campaign(name, store, gate, cells)
         self.loop = asyncio.get_running_loop()
         self.phase = ElectionPhase.FOLLOWER
-        self.leader: str | None = None  # the leading controller, as far as it is known
+        self.leader: str | None = None  # name of the current leader, if known
         self.leader_term: LeaderTerm | None = None
         self.backoff_until = 0.0
         self.leaderless_since: float | None = None
         self._stepping_down = asyncio.Event()
 
-    def _enter(self, phase: ElectionPhase) -> None:
+    def _enter_phase(self, phase: ElectionPhase) -> None:
         if phase is not self.phase:
             log.info("leadership: %s -> %s", self.phase.name, phase.name)
             self.phase = phase
@@ -76,11 +80,11 @@
         )
 
     def step_down(self) -> None:
-        """End the term: the leader key was found to be another controller's."""
+        """End the term, since the leader key turned out not to be this controller's any more."""
         self._stepping_down.set()
 
     async def resign(self, why: str) -> None:
-        """Revoke the leader lease and back off, since another controller can do better."""
+        """Revoke the leader lease and back off, so that another controller is elected."""
         if self.leader_term is None:
             return
         log.info("leadership: resigning term %d: %s", self.leader_term.term, why)
@@ -91,13 +95,13 @@
         await revoke_lease(self.store, lease_id)
 
     async def run(self) -> None:
-        """Follow, campaign and lead in turns, until cancelled."""
+        """Follow, campaign and lead in turn, until cancelled."""
         first = True
         while True:
             try:
                 await self._follow_or_campaign(first)
             except StoreError as exc:
-                log.debug("leadership: the state service gave no answer: %s", exc)
+                log.debug("leadership: request to the state service failed, retrying: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
             first = False
 
@@ -106,12 +110,16 @@
         key_value = await self.store.get(LEADER_KEY, prioritized=True)
         leader = msgspec.convert(key_value.value, LeaderRecord) if key_value is not None else None
         if leader is not None and leader.member == self.name:
-            # This process does not lead. The record is from before a restart, or from a campaign
-            # whose answer was lost: no controller acts on it.
-            log.info("leadership: revoking our lease of term %d, which is not served", leader.term)
-            await revoke_lease(self.store, leader.lease)
+            # The leader key names this controller, but this process does not lead: the record is
+            # from before a restart, or from a campaign whose response was lost.
+            log.info(
+                "leadership: revoking the lease of this controller for term %d: this process does"
+                " not lead in it",
+                leader.term,
+            )
+            await revoke_lease(self.store, leader.lease_id)
             key_value = leader = None
-        self._follow(leader)
+        self._note_leader(leader)
         if key_value is not None:
             await self._await_change(key_value.version)
         elif self._is_backing_off():
@@ -119,10 +127,10 @@
         else:
             if not first:
                 await asyncio.sleep(self.rng.random() * constants.CAMPAIGN_JITTER_S)
-            self._enter(ElectionPhase.CANDIDATE)
+            self._enter_phase(ElectionPhase.CANDIDATE)
             leader_term = await self.campaign.run()
             if leader_term is not None:
-                await self._hold(leader_term)
+                await self._serve_term(leader_term)
 
     def _is_backing_off(self) -> bool:
         now = self.loop.time()
@@ -133,21 +141,21 @@
             and now - self.leaderless_since < constants.LEADERLESS_BACKOFF_S
         )
 
-    def _follow(self, record: LeaderRecord | None) -> None:
+    def _note_leader(self, record: LeaderRecord | None) -> None:
         leader = record.member if record is not None else None
         if leader != self.leader:
-            log.info("leadership: leader %s -> %s", self.leader, leader)
+            log.info("leadership: leader changed: %s -> %s", self.leader, leader)
         self.leader = leader
         if leader is not None:
             self.leaderless_since = None
-        self._enter(
+        self._enter_phase(
             ElectionPhase.BACKOFF
             if self.loop.time() < self.backoff_until
             else ElectionPhase.FOLLOWER
         )
 
     async def _await_change(self, version: int) -> None:
-        """Return once the leader key has changed after this version, or the watch has ended."""
+        """Return once the leader key has changed since this version, or the watch has ended."""
         after = version
         while True:
             result = await self.store.watch(LEADER_KEY, after)
@@ -157,13 +165,13 @@
             if any(event.key == LEADER_KEY for event in events):
                 return
 
-    async def _hold(self, leader_term: LeaderTerm) -> None:
-        """Lead until the lease expires, the controller steps down, or the leader ends."""
+    async def _serve_term(self, leader_term: LeaderTerm) -> None:
+        """Lead until the lease expires, the controller steps down, or `lead` returns or fails."""
         self.leader_term = leader_term
         self._stepping_down = asyncio.Event()
         self.leader = self.name
         self.leaderless_since = None
-        self._enter(ElectionPhase.LEADER)
+        self._enter_phase(ElectionPhase.LEADER)
         log.info("leadership: leading in term %d", leader_term.term)
         self.store.set_leading(True)
         tasks = [
@@ -175,7 +183,7 @@
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
             self.leader_term = None
-            self._enter(ElectionPhase.FOLLOWER)
+            self._enter_phase(ElectionPhase.FOLLOWER)
             self.leader = None
             self.store.set_leading(False)
             for task in tasks:
@@ -183,8 +191,8 @@
             for result in await asyncio.gather(*tasks, return_exceptions=True):
                 if isinstance(result, Exception):
                     log.error(
-                        "leadership: term %d ended by an error", leader_term.term, exc_info=result
+                        "leadership: term %d failed; backing off", leader_term.term, exc_info=result
                     )
-                    # Another controller should lead: here the next term might fail as well.
+                    # Another controller should lead: the next term might fail here as well.
                     self.backoff_until = self.loop.time() + constants.RESIGN_BACKOFF_S
             log.info("leadership: no longer leading in term %d", leader_term.term)
--- a/peathall/leadership/lease.py
+++ b/peathall/leadership/lease.py
@@ -1,18 +1,19 @@
-"""How long a leader may act, and the numbers by which leaders' commands are ordered."""
+"""The leader lease, and the numbers that order the commands and attempts of leaders."""
 
 from __future__ import annotations
 
 from peathall import constants
 
-# The counter below the term grows by one a second, so it never reaches the term's bits.
+# Bits. The counter in the lower bits grows by one a second, so it never reaches the term's bits.
 TERM_SHIFT = 32
 
 
 class LeaderLease:
-    """Until when a leader may act, on the monotonic clock of its event loop, in seconds.
+    """Until when the holder of a lease may act, in seconds of its event loop's monotonic clock.
 
-    It counts from the sending of the last good renewal, less the clocks' drift and a margin, so
-    that it ends before the state service lets another controller lead.
+    The lease counts from the time at which the last successful renewal was sent, and is shortened
+    by the clock drift and a margin. It thus ends before the state service lets another controller
+    take over.
     """
 
     def __init__(self, ttl_s: float, sent: float) -> None:
@@ -21,26 +22,26 @@
         self.record_renewal(sent)
 
     def record_renewal(self, sent: float) -> None:
-        """Extend the lease: a renewal that was sent at this time has been answered."""
+        """Extend the lease after the success of a renewal that was sent at this time."""
         self.until = max(
             self.until,
             sent + self.ttl_s * (1 - 2 * constants.CLOCK_DRIFT) - constants.LEADER_LEASE_MARGIN_S,
         )
 
     def end(self) -> None:
-        """End the lease now, before it is revoked in the state service."""
+        """End the lease for this process, before it is revoked in the state service."""
         self.until = 0.0
 
     def is_valid(self, now: float) -> bool:
-        """Whether no other controller can lead yet."""
+        """Whether the holder may act, since no other controller can hold the lease yet."""
         return now < self.until
 
 
 def fencing_token(term: int, counter: int) -> int:
-    """The fencing token: the term, then a counter that the leader raises."""
+    """The fencing token: the term in the upper bits, a counter that the leader raises below."""
     return (term << TERM_SHIFT) | counter
 
 
 def first_attempt(term: int) -> int:
-    """The term's first attempt number: attempts of two terms never have the same number."""
+    """The term's first attempt number; no two terms share an attempt number."""
     return term << TERM_SHIFT
--- a/peathall/leadership/records.py
+++ b/peathall/leadership/records.py
@@ -1,13 +1,13 @@
 """The two records of an election in the state service.
 
-`lead` (the leader key) is bound to the leader's lease and disappears with it. `term` counts the
-elections that were won and is never deleted. Both are written in one transaction, so that no term
-number is given to two leaders.
+`lead` (the leader key) is bound to the leader's lease and is deleted when the lease ends. `term`
+counts the elections that were won and is never deleted. Both are written in one transaction, so no
+two leaders get the same term number.
 """
 
 from __future__ import annotations
 
-from msgspec import Struct
+from msgspec import Struct, field
 
 LEADER_KEY = "lead"
 TERM_KEY = "term"
@@ -16,13 +16,13 @@
 class TermRecord(Struct, frozen=True, omit_defaults=True):
     """The value of `term`."""
 
-    n: int = 0
+    number: int = field(name="n", default=0)
     cells: bool = False  # jobs may run in other cells: only a controller with cells may lead
 
 
 class LeaderRecord(Struct, frozen=True):
-    """The value of `lead`: name of the leading controller, its term, and the id of its lease."""
+    """The value of `lead`."""
 
-    member: str
+    member: str  # name of the leader
     term: int
-    lease: int
+    lease_id: int = field(name="lease")
--- a/peathall/leadership/term.py
+++ b/peathall/leadership/term.py
@@ -1,4 +1,4 @@
-"""The leader term: what a won election gives, and how its lease is renewed and revoked."""
+"""The term of an elected leader, and the renewal and revocation of its lease."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 
 class LeaderTerm(Struct, frozen=True):
-    """The term number, the leader key as it was written, and the lease that it is bound to."""
+    """The term number, the leader key as the campaign wrote it, and the lease of that key."""
 
     term: int
     record: GuardKey
-    lease_id: int  # the lease's name in the state service
+    lease_id: int  # of the lease in the state service
     lease: LeaderLease  # until when the leader may act, by its own clock
-    delegates: bool = False  # the leader acts on the cloud through the holders of duties
+    delegates: bool = False  # whether the leader delegates work to the holders of duties
 
 
 async def renew_lease(store: StoreClient, leader_term: LeaderTerm) -> None:
     """Renew the term's lease until it has expired in the state service, then return.
 
-    An outage of the state service is waited out, in the same term: the leader may not act after
-    its lease has ended by its own clock, but it may again once a renewal is answered.
+    An outage of the state service does not end the term. A leader may not act while its lease is
+    expired by its own clock, but it may act again once a renewal succeeds.
     """
     loop = asyncio.get_running_loop()
     suspended = False
@@ -40,16 +40,22 @@
             await store.renew_lease(leader_term.lease_id, constants.LEADER_RENEW_S)
             leader_term.lease.record_renewal(sent)
             if suspended:
-                log.info("leader lease of term %d: valid again, renewed", leader_term.term)
+                log.info(
+                    "leader lease of term %d: renewed, the leader may act again", leader_term.term
+                )
                 suspended = False
             pause = constants.LEADER_RENEW_S
         except LeaseExpiredError:
-            log.info("leader lease of term %d: expired in the state service", leader_term.term)
+            log.info(
+                "leader lease of term %d: expired in the state service, the term ends",
+                leader_term.term,
+            )
             return
         except StoreError as exc:
             if not suspended and not leader_term.lease.is_valid(loop.time()):
                 log.info(
-                    "leader lease of term %d: not valid, no action is taken, renewal fails: %s",
+                    "leader lease of term %d: expired by the local clock, the leader does not act"
+                    " until a renewal succeeds: %s",
                     leader_term.term,
                     exc,
                 )
@@ -59,8 +65,8 @@
 
 
 async def revoke_lease(store: StoreClient, lease_id: int) -> None:
-    """End a lease before it expires; if this fails, it expires by itself."""
+    """End a lease before it expires; if the request fails, the lease expires on its own."""
     try:
         await store.revoke_lease(lease_id)
     except StoreError as exc:
-        log.debug("lease %d: not revoked, it will expire: %s", lease_id, exc)
+        log.debug("lease %d: revocation failed, the lease will expire: %s", lease_id, exc)
