--- a/peathall/leader/context.py
+++ b/peathall/leader/context.py
@@ -1,4 +1,4 @@
-"""What a controller gives to each leader that it runs."""
+"""The parts of a controller that each of its leaders uses."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 
 class Leadership(Protocol):
-    """The election, as far as a leader needs it."""
+    """The part of the election that a leader uses."""
 
     def is_leader(self) -> bool:
         """Whether this controller leads and its leader lease is valid now."""
 
     def step_down(self) -> None:
-        """End the term: the leader key was found to be another controller's."""
+        """End the term, since the leader key turned out not to be this controller's any more."""
 
 
 class ControllerContext(Struct, frozen=True):
-    """The parts of a controller that outlive its terms and that its leaders use."""
+    """Parts that exist as long as the controller, not only for one term."""
 
     settings: Settings
     operator: Operator
     store: StoreClient
     cloud: CloudClient
     leadership: Leadership
-    heartbeats_elsewhere: HeartbeatsElsewhere  # latest heartbeats that other controllers received
-    wall: Callable[[], float]  # time of day, in seconds
+    heartbeats_elsewhere: HeartbeatsElsewhere  # the latest heartbeats received by other controllers
+    wall: Callable[[], float]  # wall-clock time, in seconds since the epoch
     rng: random.Random
-    duties: Duties | None = None  # None: the operator has not enabled duties
+    duties: Duties | None = None  # None: duties are not enabled
--- a/peathall/leader/phase.py
+++ b/peathall/leader/phase.py
@@ -8,9 +8,9 @@
 
 
 class LeaderPhase(Enum):
-    """A term begins with recovery from the records in the state service."""
+    """The phases of a term, in order."""
 
-    RECOVERING = auto()
+    RECOVERING = auto()  # loading the records from the state service
     SERVING = auto()
     OVER = auto()
 
@@ -24,7 +24,7 @@
         self.lease_is_valid = lease_is_valid
 
     def enter(self, phase: LeaderPhase) -> None:
-        """The one way to change the phase; OVER is final."""
+        """Change the phase, unless the term is over."""
         if self.phase is not LeaderPhase.OVER:
             self.phase = phase
 
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery at the beginning of a term: the state of the cluster from the stored records."""
+"""Recovery at the start of a term: rebuilds the cluster state from the stored records."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from peathall import constants
 from peathall.autoscaling.machine_types import TYPES
 from peathall.jobs import records
-from peathall.leader.wiring import LeaderSlices
+from peathall.leader.wiring import LeaderComponents
 from peathall.placement.rounds import ROUND
 from peathall.protocol.state_service import KeyValue
 from peathall.store.client import StoreClient
@@ -23,7 +23,7 @@
 
 
 class StoredState(Struct, frozen=True):
-    """All records that a leader recovers from, as read; None: there is no such record."""
+    """All records that a leader recovers from, as read; None if a record does not exist."""
 
     types: KeyValue | None
     live: list[KeyValue]
@@ -33,19 +33,19 @@
     image_caches: list[KeyValue]
     failing_jobs: KeyValue | None
     pending_deletions: set[str]
-    cells: Any  # read and loaded by the cells only
+    cells: Any  # read and loaded by `LeaderCells`
 
 
 class Recovery:
-    """Reads the records and loads them into the slices of a term."""
+    """Reads the records and loads them into the components of a term."""
 
-    def __init__(self, store: StoreClient, slices: LeaderSlices) -> None:
+    def __init__(self, store: StoreClient, components: LeaderComponents) -> None:
         self._store = store
-        self._slices = slices
+        self._components = components
         self._loop = asyncio.get_running_loop()
 
     async def run(self) -> None:
-        """Return once everything is loaded; a failed read begins again from the first record."""
+        """Read and load all records. After a failed read, all of them are read again."""
         while True:
             try:
                 stored = await self._read()
@@ -53,7 +53,7 @@
             except StoreError as exc:
                 log.info(
                     "leader: term %d not recovered, reading the records again: %s",
-                    self._slices.cluster.term,
+                    self._components.cluster.term,
                     exc,
                 )
                 await asyncio.sleep(constants.STORE_RETRY_S)
@@ -66,8 +66,8 @@
         rounds, _ = await self._store.scan(ROUND)
         image_caches, _ = await self._store.scan(CACHE)
         failing_jobs = await self._store.get(FAILING_JOBS_KEY)
-        pending_deletions = await self._slices.duties.pending_deletions()
-        cells = await self._slices.cells.read_records(self._store)
+        pending_deletions = await self._components.duties.pending_deletions()
+        cells = await self._components.cells.read_records(self._store)
         return StoredState(
             types=types,
             live=live,
@@ -81,16 +81,16 @@
         )
 
     def _load(self, stored: StoredState) -> None:
-        slices = self._slices
+        components = self._components
         if stored.types is not None:
-            slices.writer.versions[TYPES] = stored.types.version
-            slices.autoscaler.load_types(stored.types.value)
-        slices.cells.load(stored.cells)
-        slices.jobs.load(stored.live, stored.done, stored.live_revision)
-        slices.cells.load_handoffs(stored.cells)
-        slices.image_caches.load(stored.image_caches)
-        slices.failing_jobs.load(stored.failing_jobs)
-        slices.autoscaler.mark_deleting(stored.pending_deletions, self._loop.time())
-        # Last: the attempts in them need the jobs, borrowed ones included.
-        slices.placement.rounds.load(stored.rounds, self._loop.time())
-        slices.workers.failover_at = self._loop.time()
+            components.writer.versions[TYPES] = stored.types.version
+            components.autoscaler.load_types(stored.types.value)
+        components.cells.load(stored.cells)
+        components.jobs.load(stored.live, stored.done, stored.live_revision)
+        components.cells.load_handoffs(stored.cells)
+        components.image_caches.load(stored.image_caches)
+        components.failing_jobs.load(stored.failing_jobs)
+        components.autoscaler.mark_deleting(stored.pending_deletions, self._loop.time())
+        # After all jobs, borrowed ones included, since the rounds name attempts of their tasks.
+        components.placement.rounds.load(stored.rounds, self._loop.time())
+        components.workers.failover_at = self._loop.time()
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -1,4 +1,4 @@
-"""One term of a leader: recovery, serving, and its end."""
+"""One term of a leader: recovery, serving, and cleanup at its end."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from peathall.leader.phase import LeaderPhase, TermState
 from peathall.leader.recovery import Recovery
 from peathall.leader.requests import LeaderRequests
-from peathall.leader.wiring import LeaderSlices
+from peathall.leader.wiring import LeaderComponents
 from peathall.leadership.term import LeaderTerm
 from peathall.placement.placement import Placement
 from peathall.protocol.heartbeats import Heartbeat
@@ -33,26 +33,26 @@
 
 
 class Leader:
-    """Everything that a controller does only while it leads, for one term."""
+    """Everything that a controller does only while it leads; one instance for each term."""
 
     def __init__(self, leader_term: LeaderTerm, context: ControllerContext) -> None:
         self._state = TermState(context.leadership.is_leader)
-        self._slices = slices = LeaderSlices(leader_term, context, self._state)
-        self._recovery = Recovery(context.store, slices)
-        self._requests = LeaderRequests(slices, self._state)
+        self._components = components = LeaderComponents(leader_term, context, self._state)
+        self._recovery = Recovery(context.store, components)
+        self._requests = LeaderRequests(components, self._state)
         self._loop = asyncio.get_running_loop()
-        self.cluster: ClusterState = slices.cluster
-        self.writer: Writer = slices.writer
-        self.workers: Workers = slices.workers
-        self.jobs: Jobs = slices.jobs
-        self.autoscaler: Autoscaler = slices.autoscaler
-        self.placement: Placement = slices.placement
-        self.cells: CellLeader | None = slices.cell_leader  # None: cells are not enabled
-        self.duties: LeaderDuties = slices.duties
+        self.cluster: ClusterState = components.cluster
+        self.writer: Writer = components.writer
+        self.workers: Workers = components.workers
+        self.jobs: Jobs = components.jobs
+        self.autoscaler: Autoscaler = components.autoscaler
+        self.placement: Placement = components.placement
+        self.cells: CellLeader | None = components.cell_leader  # None: cells are not enabled
+        self.duties: LeaderDuties = components.duties
 
     @property
     def phase(self) -> LeaderPhase:
-        """Recovering, serving, or over."""
+        """The phase of the term."""
         return self._state.phase
 
     def is_active(self) -> bool:
@@ -78,18 +78,18 @@
 
     # --- the term ------------------------------------------------------------
     async def run(self) -> None:
-        """Recover, then serve until something that serves ends, fails, or is cancelled."""
+        """Recover, then serve until a background task ends or fails, or until cancelled."""
         tasks = [asyncio.create_task(self.writer.run())]
         try:
             await self._recovery.run()
-            await self._slices.cells.request_leases()
+            await self._components.cells.request_leases()
             self._begin_serving()
             for loop in self._loops():
                 tasks.append(asyncio.create_task(loop))
             done, _ = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
             for task in done:
                 if not task.cancelled():
-                    task.result()  # raises what the task failed with
+                    task.result()  # raises the exception of a failed task
         finally:
             await self._end(tasks)
 
@@ -105,18 +105,18 @@
         )
 
     def _loops(self) -> Iterator[Coroutine[Any, Any, None]]:
-        """What runs while the leader serves; none of it returns."""
+        """Coroutines that run while the leader serves; none of them returns."""
         yield self.jobs.follow()
         yield self.placement.run()
         yield self.autoscaler.run()
         yield self._tick()
         yield from self.duties.loops(on_retired=self.autoscaler.act_directly)
-        yield from self._slices.cells.loops()
+        yield from self._components.cells.loops()
 
     async def _end(self, tasks: list[asyncio.Task[None]]) -> None:
         self._state.enter(LeaderPhase.OVER)
         self.writer.stop()
-        self._slices.cells.close()
+        self._components.cells.close()
         self.jobs.close()
         self.workers.close()
         for task in tasks:
@@ -131,12 +131,12 @@
                 self._check_all()
 
     def _check_all(self) -> None:
-        """Once a second: leases, machines, records and jobs."""
-        slices = self._slices
-        slices.cells.tick(self._loop.time())
+        """Check leases, machines, records and jobs; called every TICK_S."""
+        components = self._components
+        components.cells.tick(self._loop.time())
         self.workers.tick(self._loop.time())
         self.placement.rounds.compact(self._loop.time())
         if self._loop.time() - self.workers.failover_at > constants.FORGET_CACHES_S:
-            slices.image_caches.forget_unknown()
+            components.image_caches.forget_unknown()
         for job in list(self.cluster.jobs.values()):
             self.jobs.review(job)
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -1,4 +1,4 @@
-"""Builds the slices of a leader over one ClusterState and connects them."""
+"""Constructs the components of a leader around one ClusterState and connects them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from peathall.duties.term import TermDuties
 from peathall.jobs.jobs import Jobs
 from peathall.leader.context import ControllerContext
-from peathall.leader.events import SliceEvents
+from peathall.leader.events import ComponentEvents
 from peathall.leader.features import LeaderCells, LeaderDuties
 from peathall.leader.phase import TermState
 from peathall.leadership.lease import first_attempt
@@ -30,8 +30,8 @@
     from peathall.cells.cell_leader import CellLeader
 
 
-class LeaderSlices:
-    """The slices of one term, each built with those that it depends on."""
+class LeaderComponents:
+    """The components of one term, constructed in the order of their dependencies."""
 
     def __init__(
         self, leader_term: LeaderTerm, context: ControllerContext, state: TermState
@@ -39,7 +39,7 @@
         self._context = context
         self._params = context.settings.params
         self._state = state
-        self.events = SliceEvents(self, state)
+        self.events = ComponentEvents(self, state)
         self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term), self.events)
         self.writer = self._make_writer(leader_term)
         self.duties = self._make_duties(leader_term)
@@ -60,8 +60,8 @@
             guard=leader_term.record,
             lease_is_valid=leadership.is_leader,
             on_leadership_lost=leadership.step_down,
-            # Records of handoffs are deleted within seconds: a transaction that is carried out
-            # late must not write one again.
+            # Records of handoffs are deleted within seconds: a transaction that the state service
+            # commits late must not create one again.
             fence_unknown_outcomes=self._context.operator.cells is not None,
         )
         # The campaign wrote both keys in one transaction, so they have the same version.
@@ -126,11 +126,11 @@
         )
 
     def _make_cell_leader(self) -> CellLeader | None:
-        """None if the operator has not enabled cells."""
+        """None if cells are not enabled."""
         settings = self._context.operator.cells
         if settings is None:
             return None
-        # Imported here only: a controller without cells must not spend the memory.
+        # Imported only if cells are enabled, to save memory in other controllers.
         from peathall.cells.cell_leader import CellEnvironment, CellLeader
 
         return CellLeader(
