--- a/peathall/controller/__init__.py
+++ b/peathall/controller/__init__.py
@@ -1,1 +1,1 @@
-"""One controller: its construction and life cycle, and the routing of each request."""
+"""A controller: its construction and life cycle, and the routing of requests."""
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -1,4 +1,4 @@
-"""One controller: its construction from parts, and its life cycle."""
+"""The construction of a controller from its parts, and its life cycle."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 class Controller:
     """One process of the service: takes part in the election, serves requests, leads if elected.
 
-    `assemble` makes its parts, which need a running event loop; `run` calls it.
+    `run` calls `assemble`, which constructs the parts that need a running event loop.
     """
 
     def __init__(
@@ -61,12 +61,12 @@
     ) -> None:
         self.settings = settings
         self.operator = operator
-        self.wall = wall  # time of day
+        self.wall = wall  # wall-clock time, in seconds since the epoch
         self.rng = rng or random.Random()
 
     # --- construction --------------------------------------------------------
     def assemble(self) -> None:
-        """Make the parts and connect them. Nothing is sent or served yet."""
+        """Construct the parts and connect them, without sending or serving anything yet."""
         settings = self.settings
         self.loop = asyncio.get_running_loop()
         mode = self.operator.duty_mode
@@ -92,7 +92,7 @@
         self._assemble_listeners()
 
     def _make_duties(self) -> Duties:
-        # Imported here only: a controller without duties does not spend the memory.
+        # Imported only if duties are enabled, to save memory in other controllers.
         from peathall.duties.duties import Duties
 
         return Duties(
@@ -106,7 +106,7 @@
         )
 
     def _assemble_listeners(self) -> None:
-        """Make the servers, and the routes behind them."""
+        """Construct the HTTP servers and their request handlers."""
         params = self.settings.params
         queue = RequestQueue()
         redirected = RedirectedWorkers()
@@ -139,13 +139,17 @@
 
     # --- life cycle ----------------------------------------------------------
     async def run(self) -> None:
-        """Serve until cancelled. OSError if an address can't be listened on."""
+        """Serve until cancelled; raises OSError if an address can't be listened on."""
         self.assemble()
         gc.set_threshold(constants.GC_OBJECTS)
-        gc.freeze()  # objects made at the start stay: later collections need not look at them
+        gc.freeze()  # objects made at startup are permanent: later collections need not scan them
         await self.peer_listener.start(*split_addr(self.settings.peer_listen))
         await self.public_listener.start(*split_addr(self.settings.listen))
-        log.info("%s serves users and workers on %s", self.settings.name, self.settings.listen)
+        log.info(
+            "controller %s: serving users and workers on %s",
+            self.settings.name,
+            self.settings.listen,
+        )
         await asyncio.gather(
             self.election.run(),
             self.peers.ping_all(),
@@ -156,14 +160,16 @@
         )
 
     async def release(self) -> None:
-        """Before an orderly end: release the duties that this controller holds, so that others
-        need not wait for its leases to expire."""
+        """Release the duties that this controller holds, before a graceful shutdown.
+
+        Otherwise other controllers would have to wait until its leases expire.
+        """
         if self.duties is not None:
             await self.duties.release_all()
 
     @property
     def leader(self) -> Leader | None:
-        """The term that this controller serves as leader, if any."""
+        """The leader of this process; None while this controller does not lead."""
         return self.leaders.local
 
     @leader.setter
@@ -191,7 +197,7 @@
 
     # --- background loops ----------------------------------------------------
     async def _resign_while_unreachable(self) -> None:
-        """As leader: resign if the workers can't reach this controller, but do reach others."""
+        """As leader, resign if workers can't reach this controller but do reach others."""
         while True:
             await asyncio.sleep(constants.PING_S)
             leader, now = self.leader, self.loop.time()
@@ -203,19 +209,21 @@
                 await self.election.resign("heartbeats reach other controllers, but not this one")
 
     async def _refresh_machine_types(self) -> None:
-        """Keep the machine types by which submissions are judged while no leader is reachable."""
+        """Refresh the machine types for checking submissions while no leader is reachable."""
         while True:
             try:
                 item = await self.store.get(TYPES)
                 if item is not None:
                     self.follower_service.set_types(decode_machine_types(item.value))
             except StoreError as exc:
-                log.debug("machine types not refreshed: %s", exc)
+                log.debug(
+                    "controller: machine types not refreshed, keeping the previous ones: %s", exc
+                )
             await asyncio.sleep(constants.TYPES_S if self.follower_service.types else 2.0)
 
     @staticmethod
     async def _expire_task_statuses() -> None:
-        """Let the decode cache drop what no heartbeat has contained lately."""
+        """Evict decoded task statuses that no heartbeat has contained lately."""
         while True:
             await asyncio.sleep(constants.TASK_STATUS_CACHE_S)
             task_status_cache.begin_generation()
--- a/peathall/controller/health.py
+++ b/peathall/controller/health.py
@@ -1,4 +1,4 @@
-"""Whether this controller can serve anybody at present."""
+"""The health check: whether this controller is cut off from the rest of the service."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ControllerHealth:
-    """Judges the contact of this controller to the state service and to its peers."""
+    """Checks whether the state service and the peers respond to this controller."""
 
     def __init__(self, store: StoreClient, peers: Peers) -> None:
         self._store = store
@@ -21,8 +21,11 @@
         self._started_at = self._loop.time()
 
     def is_isolated(self) -> bool:
-        """Neither the state service nor any peer responds: other controllers may be able to serve,
-        this one is not. A deployment of one controller is never isolated in this sense."""
+        """Whether neither the state service nor any peer responds.
+
+        Other controllers may then be able to serve, but this one is not. A controller without
+        peers is never isolated.
+        """
         return (
             bool(self._peers.views)
             and not self._store.is_fresh()
@@ -30,8 +33,10 @@
         )
 
     def response(self) -> Response:
-        """The response to a health check: 503 while isolated, except right after the start, when
-        there was no time yet to contact anybody."""
+        """The response to a health check: 503 while isolated.
+
+        For JUST_STARTED_S after startup it is 200, since nobody may have responded yet.
+        """
         just_started = self._loop.time() - self._started_at < constants.JUST_STARTED_S
         healthy = just_started or not self.is_isolated()
         return Response(HTTPStatus.OK if healthy else HTTPStatus.SERVICE_UNAVAILABLE)
--- a/peathall/controller/job_requests.py
+++ b/peathall/controller/job_requests.py
@@ -1,4 +1,4 @@
-"""Which part answers a user's request: the leader here, the leader elsewhere, or this follower."""
+"""Routing of users' requests to the leader here, to the leader elsewhere, or to the follower."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
             if leader.is_active():
                 return await _ask_leader(leader, request)
         else:
-            leader_name = self._leaders.remote()
+            leader_name = self._leaders.remote_name()
             if leader_name is not None:
                 response = await self._forward(leader_name, request)
                 if response is not None:
@@ -51,18 +51,21 @@
         return await self._ask_follower(request)
 
     async def serve_forwarded(self, request: JobRequest) -> JobResponse:
-        """Answer a request that another controller has forwarded, taking this one for the leader.
-        It is not forwarded again: if this controller does not lead, the sender has to find out."""
+        """Answer a request that another controller forwarded, since it considers this one leader.
+
+        The request is never forwarded again: RETRY_LATER if this controller does not lead or is
+        overloaded.
+        """
         request_class = (
             RequestClass.QUERY if isinstance(request, QueryRequest) else RequestClass.WRITE
         )
         if self._leaders.local is None or not await self._queue.admit(request_class):
             return RETRY_LATER
-        leader = self._leaders.local  # the term may have ended while the request waited
+        leader = self._leaders.local  # the term may have ended while the request was queued
         return RETRY_LATER if leader is None else await _ask_leader(leader, request)
 
     async def _forward(self, leader_name: str, request: JobRequest) -> JobResponse | None:
-        """The leader's answer; None if it gave none, or is not able to serve."""
+        """The leader's response; None if it did not respond, or responded with 503."""
         accepts = isinstance(request, AcceptRequest)
         timeout = constants.FORWARD_ACCEPT_S if accepts else constants.FORWARD_S
         try:
@@ -70,7 +73,11 @@
                 leader_name, request, timeout, constants.ACCEPT_S
             )
         except NoAnswerError as exc:
-            log.debug("job request not forwarded to leader %s: %s", leader_name, exc)
+            log.debug(
+                "job request: no response from leader %s, handled by this follower: %s",
+                leader_name,
+                exc,
+            )
             return None
         return None if status == HTTPStatus.SERVICE_UNAVAILABLE else JobResponse(status, value)
 
@@ -81,16 +88,16 @@
         elif isinstance(request, QueryRequest):
             response = self._follower_service.query(request.job_id)
         else:
-            return RETRY_LATER  # only a leader can cancel: it keeps the job in memory
+            return RETRY_LATER  # only the leader can cancel a job, since it keeps the job in memory
         try:
             return await asyncio.wait_for(response, constants.FOLLOWER_READ_S)
         except (StoreError, TimeoutError) as exc:
-            log.debug("job request not answered from the state service: %s", exc)
+            log.debug("job request: state service failed or timed out, user told to retry: %s", exc)
             return RETRY_LATER
 
 
 def _ask_leader(leader: Leader, request: JobRequest) -> Awaitable[JobResponse]:
-    # Not a match statement, which takes several times as long: every request comes through here.
+    # Not a match statement, which takes several times as long; this runs for every request.
     if isinstance(request, AcceptRequest):
         return leader.accept(request.spec)
     if isinstance(request, QueryRequest):
--- a/peathall/controller/leader_directory.py
+++ b/peathall/controller/leader_directory.py
@@ -1,4 +1,4 @@
-"""Where the leader is: in this controller, or in which other one."""
+"""Lookup of the leader: in this process, or the name of another controller."""
 
 from __future__ import annotations
 
@@ -9,22 +9,21 @@
 
 
 class LeaderDirectory:
-    """The leader, as far as this controller knows it now."""
+    """The leader that this controller knows at present."""
 
     def __init__(self, own_name: str, election: Election, store: StoreClient, peers: Peers) -> None:
-        # The term that this controller serves as leader; `Controller.leader` sets it for as long as
-        # the term runs.
+        # The leader of this process; `Controller.leader` sets it for the duration of a term.
         self.local: Leader | None = None
         self._own_name = own_name
         self._election = election
         self._store = store
         self._peers = peers
 
-    def remote(self) -> str | None:
-        """Name of the other controller that is the leader; None if none is known.
+    def remote_name(self) -> str | None:
+        """Name of the leader if it is another controller; None if no such leader is known.
 
-        While the state service can't be reached, the leader that its watch named last may be one
-        from before the loss of contact: then only the peers' own ping responses count.
+        While the state service can't be reached, the leader last read from it may be outdated, so
+        the leader is then taken from the peers' ping responses.
         """
         name = self._election.leader if self._store.is_fresh() else self._peers.leading()
         return None if name == self._own_name else name
--- a/peathall/controller/peer_routes.py
+++ b/peathall/controller/peer_routes.py
@@ -1,6 +1,6 @@
-"""Requests at the address for other controllers that belong to an optional feature.
+"""Handlers for the optional features' requests at the address for other controllers.
 
-They come from the other controllers, from other cells, and from the commands of operators.
+The requests come from other controllers, from other cells, and from operators' commands.
 """
 
 from __future__ import annotations
@@ -31,25 +31,30 @@
 
 
 class DutyRoutes:
-    """Requests about duties, which any controller answers."""
+    """Serves the requests about duties, which any controller can answer."""
 
     def __init__(self, duties: Duties) -> None:
         self._duties = duties
 
     async def serve(self, path: str, raw: bytes) -> PeerResponse | None:
-        """The answer; None if the path does not belong to duties."""
+        """The response; None if the path does not belong to duties."""
         if path not in DUTY_PATHS:
             return None
         try:
             return PeerResponse(*await self._duties.serve(path, raw))
         except StoreError as exc:
-            log.debug("duty request %s not answered: %s", path, exc)
+            log.debug(
+                "duty request %s: request to the state service failed, answered 503: %s", path, exc
+            )
             return PeerResponse(HTTPStatus.SERVICE_UNAVAILABLE, None)
 
 
 class CellRoutes:
-    """Requests about cells, which the leader answers. Messages of other cells are redirected to
-    it; the status for operators is fetched from it."""
+    """Serves the requests about cells, which only the leader can answer.
+
+    On other controllers, messages of other cells are redirected to the leader, and the status for
+    operators is fetched from the leader.
+    """
 
     def __init__(self, own_name: str, leaders: LeaderDirectory, peers: Peers) -> None:
         self._own_name = own_name
@@ -57,14 +62,14 @@
         self._peers = peers
 
     async def serve(self, path: str, raw: bytes) -> PeerResponse | None:
-        """The answer; None if the path does not belong to cells."""
+        """The response; None if the path does not belong to cells."""
         if not path.startswith(CELLS_PREFIX):
             return None
         leader = self._leaders.local
         if leader is None or leader.cells is None:
             if path == CELL_STATUS_PATH:
                 return await self._relay_to_leader(path, raw)
-            leader_name = self._leaders.remote()
+            leader_name = self._leaders.remote_name()
             return PeerResponse(HTTPStatus.MISDIRECTED_REQUEST, {"leader": leader_name})
         if path == CELL_STATUS_PATH:
             status = leader.cells.status(self._own_name)
@@ -72,7 +77,7 @@
         return PeerResponse(*await leader.cells.serve(path, raw))
 
     async def _relay_to_leader(self, path: str, raw: bytes) -> PeerResponse:
-        leader_name = self._leaders.remote()
+        leader_name = self._leaders.remote_name()
         if leader_name is None:
             return PeerResponse(HTTPStatus.SERVICE_UNAVAILABLE, encode_error("nobody leads"))
         try:
--- a/peathall/controller/process.py
+++ b/peathall/controller/process.py
@@ -1,4 +1,4 @@
-"""The process of a controller: event loop, signals, orderly end."""
+"""The process of a controller: event loop, signals, graceful shutdown."""
 
 from __future__ import annotations
 
@@ -11,14 +11,19 @@
 
 
 def run_process(settings: Settings, operator: Operator) -> None:
-    """Run a controller until it is ended. OSError if an address can't be listened on;
-    KeyboardInterrupt on SIGINT."""
+    """Run a controller until a signal ends it.
+
+    Raises OSError if an address can't be listened on, and KeyboardInterrupt on SIGINT.
+    """
     asyncio.run(_run_controller(Controller(settings, operator)))
 
 
 async def _run_controller(controller: Controller) -> None:
-    """With duties on, SIGTERM cancels the controller, and the duties that it holds are released
-    before the process ends. Without them nothing needs a release, and SIGTERM ends it at once."""
+    """Run the controller. On SIGTERM it releases its duties before the process ends.
+
+    If the operator has not configured duties, there is nothing to release, and SIGTERM ends the
+    process at once.
+    """
     running = asyncio.ensure_future(controller.run())
     if controller.operator.duties is not None:
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, running.cancel)
--- a/peathall/controller/routes.py
+++ b/peathall/controller/routes.py
@@ -1,4 +1,4 @@
-"""Paths and methods of the address for users and workers."""
+"""Dispatch of requests at the address for users and workers, by path and method."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class PublicRoutes:
-    """Finds the handler of a request of a user, a worker or a health check."""
+    """Passes each request of a user, a worker or a health check to its handler."""
 
     def __init__(self, users: UserRoutes, workers: WorkerRoutes, health: ControllerHealth) -> None:
         self._users = users
--- a/peathall/controller/user_routes.py
+++ b/peathall/controller/user_routes.py
@@ -1,4 +1,4 @@
-"""Requests of users: submission, query and cancellation of a job."""
+"""Handlers for users' requests: submission, query and cancellation of a job."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 # Looked up once: in Python 3.11 each access to a member of an enum class takes some 0.4 us.
 SERVICE_UNAVAILABLE = HTTPStatus.SERVICE_UNAVAILABLE
-# The user has to come back a little later, with the same request.
+# Responses with these statuses have a Retry-After header: the user repeats the request later.
 RETRY_STATUSES = frozenset(
     (HTTPStatus.TOO_MANY_REQUESTS, SERVICE_UNAVAILABLE, HTTPStatus.GATEWAY_TIMEOUT)
 )
 
 
 class UserRoutes:
-    """Admits and decodes the requests of users, and encodes the answers."""
+    """Admits and decodes the requests of users, and encodes the responses."""
 
     def __init__(
         self,
@@ -43,11 +43,11 @@
         self._router = router
         self._queue = queue
         self._health = health
-        self._max_record_bytes = max_record_bytes  # of a job in the state service
-        self._wall = wall  # time of day
+        self._max_record_bytes = max_record_bytes  # of a job's record in the state service
+        self._wall = wall  # wall-clock time, in seconds since the epoch
 
     async def submit(self, request: Request) -> Response:
-        """Submission of a job."""
+        """Handle the submission of a job."""
         if not await self._queue.admit(RequestClass.WRITE):
             return self._respond(RETRY_LATER)
         raw: dict[str, Any] = {}
@@ -65,17 +65,19 @@
         return spec
 
     async def _answer_malformed(self, job_id: object, problem: str) -> JobResponse:
-        """A malformed submission may repeat one that was accepted. That job is known, and its
-        status is the answer, whatever is wrong with the repetition."""
+        """The response to a malformed submission: the job's status if its id is already known.
+
+        A retry of a submission that was accepted gets the job's status even if it is malformed.
+        """
         if isinstance(job_id, str) and JOB_ID.match(job_id):
             known = await self._router.route(QueryRequest(job_id))
             if known.status != HTTPStatus.NOT_FOUND:
                 return known
-        log.info("submission rejected as malformed: %s", problem)
+        log.info("job submission rejected as malformed: %s", problem)
         return malformed(problem)
 
     async def serve_job(self, request: QueryRequest | CancelRequest) -> Response:
-        """Status or cancellation of a job."""
+        """Handle a query or the cancellation of a job."""
         if not JOB_ID.match(request.job_id):
             return codec.cbor_response(HTTPStatus.NOT_FOUND, encode_error("no such job"))
         is_query = isinstance(request, QueryRequest)
@@ -84,15 +86,18 @@
         return self._respond(await self._router.route(request))
 
     def _respond(self, answer: JobResponse) -> Response:
-        """Encode an answer. If this controller can't serve while others may, the connection is
-        closed, so that the user's next one may reach another controller."""
+        """Encode a response.
+
+        The connection is closed if this controller is isolated, so that the user's next one may
+        reach another controller that can serve.
+        """
         response = user_response(answer)
         response.close = response.status == SERVICE_UNAVAILABLE and self._health.is_isolated()
         return response
 
 
 def user_response(answer: JobResponse) -> Response:
-    """An answer for a user as an HTTP response."""
+    """Encode the response to a user as an HTTP response."""
     status, value = answer
     retry_after = constants.RETRY_AFTER_S if status in RETRY_STATUSES else None
     return codec.cbor_response(status, value if value is not None else {}, retry_after)
--- a/peathall/controller/worker_routes.py
+++ b/peathall/controller/worker_routes.py
@@ -1,4 +1,4 @@
-"""Heartbeats of workers: answered by the leader here, or redirected to the leader elsewhere."""
+"""Handler for workers' heartbeats: the leader answers them, other controllers redirect them."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 
 
 class WorkerRoutes:
-    """Admits and decodes the heartbeats of workers, and encodes the answers."""
+    """Admits and decodes the heartbeats of workers, and encodes the responses."""
 
     def __init__(
         self,
         leaders: LeaderDirectory,
         redirected: RedirectedWorkers,
         queue: RequestQueue,
-        is_crowded: Callable[[], bool],
+        near_connection_limit: Callable[[], bool],
     ) -> None:
         self._leaders = leaders
         self._redirected = redirected
         self._queue = queue
-        self._is_crowded = is_crowded  # whether connections are scarce
+        self._near_connection_limit = near_connection_limit
         self._loop = asyncio.get_running_loop()
 
     async def heartbeat(self, request: Request) -> Response:
-        """A worker's heartbeat."""
+        """Handle a worker's heartbeat."""
         response = await self._answer(request)
-        # If there are more workers than sockets, each connection serves one heartbeat, so that no
-        # user is displaced. Closing idle connections instead would now and then lose a heartbeat
-        # that is on its way.
-        response.close = self._is_crowded()
+        # Near the connection limit, each connection of a worker serves one heartbeat, so that users
+        # can still connect. Closing idle connections instead would occasionally lose a heartbeat
+        # in transit.
+        response.close = self._near_connection_limit()
         return response
 
     async def _answer(self, request: Request) -> Response:
@@ -62,6 +62,6 @@
         self._redirected.note(
             heartbeat.machine, (heartbeat.epoch, heartbeat.sequence), self._loop.time()
         )
-        leader_name = self._leaders.remote()
+        leader_name = self._leaders.remote_name()
         body = encode_error("no leader") if leader_name is None else encode_redirect(leader_name)
         return codec.cbor_response(HTTPStatus.MISDIRECTED_REQUEST, body)
