--- a/peathall/cells/borrowed_job.py
+++ b/peathall/cells/borrowed_job.py
@@ -8,7 +8,7 @@
 from peathall.cells.model import BorrowedJobStatus, BorrowPhase
 from peathall.cluster.job import Job
 from peathall.jobs.records import BORROWED
-from peathall.leadership.lease import LeaderLease
+from peathall.leadership.lease import HeldLease
 from peathall.protocol.jobs import JobSpec
 
 log = logging.getLogger("peathall.cells")
@@ -38,7 +38,7 @@
         self.epoch = epoch
         self.phase = phase
         self.job = job
-        self.lease: LeaderLease | None = None  # in memory only: each leader gets one of its own
+        self.lease: HeldLease | None = None  # in memory only: each leader gets one of its own
         self.revoked = False  # for good, by its home or by this cell
         self.storing = False  # its record is being written
         self.unplaced_since = now  # no task of it has been placed since then
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -34,7 +34,7 @@
 from peathall.jobs import records
 from peathall.jobs.admission import rejection_reason
 from peathall.jobs.background import BackgroundTasks
-from peathall.leadership.lease import LeaderLease
+from peathall.leadership.lease import HeldLease
 from peathall.protocol.codec import struct_to_builtins
 from peathall.protocol.jobs import JobSpec, spec_from_record, spec_to_record
 from peathall.protocol.state_service import Delete, KeyValue, Put
@@ -213,7 +213,7 @@
             self._revoke(borrowed)
         elif ruling.verdict is Verdict.GRANTED and not borrowed.revoked:
             if borrowed.lease is None:
-                borrowed.lease = LeaderLease(ruling.lease_s, sent)
+                borrowed.lease = HeldLease(ruling.lease_s, sent)
             borrowed.lease.record_renewal(sent)
             borrowed.job.start_deadline = borrowed.lease.until
             if borrowed.phase is BorrowPhase.RESERVED:
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -31,7 +31,7 @@
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
 from peathall.jobs.background import BackgroundTasks
-from peathall.leadership.lease import first_attempt
+from peathall.leadership.lease import first_number_of_term
 from peathall.protocol.codec import struct_to_builtins
 from peathall.protocol.jobs import spec_to_record
 from peathall.protocol.state_service import Delete, KeyValue, Put
@@ -121,7 +121,7 @@
         self.clock = clock  # steady time
         self.handoffs: dict[str, Handoff] = {}
         self.background = BackgroundTasks()
-        self._epoch = first_attempt(cluster.term)  # no two terms share an epoch
+        self._epoch = first_number_of_term(cluster.term)  # no two terms share an epoch
 
     # --- records -------------------------------------------------------------
     def load(self, items: list[KeyValue], now: float) -> None:
--- a/peathall/cells/lease.py
+++ b/peathall/cells/lease.py
@@ -1,7 +1,7 @@
 """The lease on a handoff, as its home counts it: pure arithmetic on the steady clock.
 
 The borrower counts from the *sending* of the heartbeat whose response granted it, less drift and a
-margin (`LeaderLease`); the home counts from the *receipt* of that heartbeat, plus drift. The
+margin (`HeldLease`); the home counts from the *receipt* of that heartbeat, plus drift. The
 receipt is never before the sending, so the home's lease expires last.
 """
 
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -159,7 +159,7 @@
             *([self.duties.run()] if self.duties is not None else []),
         )
 
-    async def release(self) -> None:
+    async def release_duties(self) -> None:
         """Release the duties that this controller holds, before a graceful shutdown.
 
         Otherwise other controllers would have to wait until its leases expire.
--- a/peathall/controller/process.py
+++ b/peathall/controller/process.py
@@ -30,4 +30,4 @@
     try:
         await running
     except asyncio.CancelledError:
-        await controller.release()
+        await controller.release_duties()
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -27,7 +27,7 @@
     HolderRecord,
     TokenRecord,
 )
-from peathall.leadership.lease import LeaderLease
+from peathall.leadership.lease import HeldLease
 from peathall.protocol.codec import struct_to_builtins
 from peathall.protocol.state_service import Put
 from peathall.store.client import StoreClient
@@ -42,7 +42,7 @@
 
     holder: HolderRecord  # with the fencing token
     record: GuardKey  # the same as it is stored: every commit is conditional on it
-    lease: LeaderLease  # until when the holder may act, by its own clock
+    lease: HeldLease  # until when the holder may act, by its own clock
 
 
 class Claimant(Protocol):
@@ -173,7 +173,7 @@
             self._enter(DutyPhase.FOLLOWING)
             return
         record = GuardKey(self.duty.holder_key, value, version, lease_id)
-        await self._hold(Tenure(holder, record, LeaderLease(self.lease_s, sent)))
+        await self._hold(Tenure(holder, record, HeldLease(self.lease_s, sent)))
 
     async def _hold(self, tenure: Tenure) -> None:
         self.tenure = tenure
--- a/peathall/duties/gate.py
+++ b/peathall/duties/gate.py
@@ -11,7 +11,7 @@
 
 from peathall.config.modes import Mode
 from peathall.duties.model import ENABLED_KEY
-from peathall.leadership.campaign import CampaignTerms
+from peathall.leadership.campaign import CampaignRequirements
 from peathall.protocol.state_service import Put
 from peathall.store.client import StoreClient
 
@@ -26,18 +26,20 @@
         self.mode = mode
         self._logged = False
 
-    async def terms(self) -> CampaignTerms:
+    async def requirements(self) -> CampaignRequirements:
         """Conditions and puts of a campaign's commit; raises StoreError."""
         if self.mode is Mode.OFF:
-            return CampaignTerms({ENABLED_KEY: 0})
+            return CampaignRequirements({ENABLED_KEY: 0})
         item = await self.store.get(ENABLED_KEY, prioritized=True)
         if item is not None:
-            return CampaignTerms({ENABLED_KEY: item.version}, delegates=True)
+            return CampaignRequirements({ENABLED_KEY: item.version}, delegates=True)
         if self.mode is Mode.RETIRING:
-            return CampaignTerms({ENABLED_KEY: 0})
-        return CampaignTerms({ENABLED_KEY: 0}, [Put(ENABLED_KEY, {"on": True})], delegates=True)
+            return CampaignRequirements({ENABLED_KEY: 0})
+        return CampaignRequirements(
+            {ENABLED_KEY: 0}, [Put(ENABLED_KEY, {"on": True})], delegates=True
+        )
 
-    def refused(self, failed: list[str]) -> bool:
+    def refused_by_settings(self, failed: list[str]) -> bool:
         """Whether a campaign failed since duties are on, which only operators can change; `failed`
         are the keys whose conditions did not hold."""
         if self.mode is not Mode.OFF or ENABLED_KEY not in failed:
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -16,7 +16,7 @@
 from peathall.leader.events import ComponentEvents
 from peathall.leader.features import LeaderCells, LeaderDuties
 from peathall.leader.phase import TermState
-from peathall.leadership.lease import first_attempt
+from peathall.leadership.lease import first_number_of_term
 from peathall.leadership.records import TERM_KEY
 from peathall.leadership.term import LeaderTerm
 from peathall.placement.placement import Placement
@@ -40,7 +40,9 @@
         self._params = context.settings.params
         self._state = state
         self.events = ComponentEvents(self, state)
-        self.cluster = ClusterState(leader_term.term, first_attempt(leader_term.term), self.events)
+        self.cluster = ClusterState(
+            leader_term.term, first_number_of_term(leader_term.term), self.events
+        )
         self.writer = self._make_writer(leader_term)
         self.duties = self._make_duties(leader_term)
         self.workers = self._make_workers()
--- a/peathall/leadership/campaign.py
+++ b/peathall/leadership/campaign.py
@@ -11,7 +11,7 @@
 
 from peathall import constants
 from peathall.config.modes import Mode
-from peathall.leadership.lease import LeaderLease
+from peathall.leadership.lease import HeldLease
 from peathall.leadership.records import LEADER_KEY, TERM_KEY, LeaderRecord, TermRecord
 from peathall.leadership.term import LeaderTerm, revoke_lease
 from peathall.protocol.state_service import Put
@@ -22,7 +22,7 @@
 log = logging.getLogger("peathall.leadership")
 
 
-class CampaignTerms(Struct, frozen=True):
+class CampaignRequirements(Struct, frozen=True):
     """Additions to the transaction of a campaign, besides the leader key and the term."""
 
     conditions: dict[str, int]  # required version of each key; 0: the key must not exist
@@ -33,10 +33,10 @@
 class CampaignGate(Protocol):
     """Decides on what conditions this controller may become leader."""
 
-    async def terms(self) -> CampaignTerms:
+    async def requirements(self) -> CampaignRequirements:
         """The requirements of the next campaign; raises StoreError if they cannot be read."""
 
-    def refused(self, failed: list[str]) -> bool:
+    def refused_by_settings(self, failed: list[str]) -> bool:
         """Whether campaigns will fail until an operator changes a setting.
 
         `failed` are the keys whose conditions did not hold in the last campaign.
@@ -60,7 +60,7 @@
         this controller, which revokes the key's lease when it next reads the key. No leader ever
         acts in that term.
         """
-        requirements = await self.gate.terms()
+        requirements = await self.gate.requirements()
         term_key_value = await self.store.get(TERM_KEY, prioritized=True)
         previous = (
             msgspec.convert(term_key_value.value, TermRecord) if term_key_value else TermRecord()
@@ -77,7 +77,7 @@
         return await self._commit(requirements, term_record, term_version)
 
     async def _commit(
-        self, requirements: CampaignTerms, term_record: TermRecord, term_version: int
+        self, requirements: CampaignRequirements, term_record: TermRecord, term_version: int
     ) -> LeaderTerm | None:
         """Write both records, provided that nobody leads and no term was added meanwhile."""
         sent = self.loop.time()
@@ -94,9 +94,9 @@
             )
         except (ConflictError, LeaseExpiredError) as exc:
             await revoke_lease(self.store, lease_id)
-            if isinstance(exc, ConflictError) and self.gate.refused(exc.failed):
+            if isinstance(exc, ConflictError) and self.gate.refused_by_settings(exc.failed):
                 await asyncio.sleep(constants.CAMPAIGN_REFUSED_RETRY_S)
             return None
         leader_key = GuardKey(LEADER_KEY, record, version, lease_id)
-        lease = LeaderLease(constants.LEADER_LEASE_TTL_S, sent)
+        lease = HeldLease(constants.LEADER_LEASE_TTL_S, sent)
         return LeaderTerm(term_record.number, leader_key, lease_id, lease, requirements.delegates)
--- a/peathall/leadership/lease.py
+++ b/peathall/leadership/lease.py
@@ -1,4 +1,4 @@
-"""The leader lease, and the numbers that order the commands and attempts of leaders."""
+"""A lease as its holder sees it, and the numbers that order the commands of leaders."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 TERM_SHIFT = 32
 
 
-class LeaderLease:
+class HeldLease:
     """Until when the holder of a lease may act, in seconds of its event loop's monotonic clock.
 
     The lease counts from the time at which the last successful renewal was sent, and is shortened
@@ -42,6 +42,6 @@
     return (term << TERM_SHIFT) | counter
 
 
-def first_attempt(term: int) -> int:
-    """The term's first attempt number; no two terms share an attempt number."""
+def first_number_of_term(term: int) -> int:
+    """Where the term's numbers of attempts and handoffs begin; no two terms share a number."""
     return term << TERM_SHIFT
--- a/peathall/leadership/term.py
+++ b/peathall/leadership/term.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from peathall import constants
-from peathall.leadership.lease import LeaderLease
+from peathall.leadership.lease import HeldLease
 from peathall.store.client import StoreClient
 from peathall.store.errors import LeaseExpiredError, StoreError
 from peathall.store.transaction import GuardKey
@@ -22,7 +22,7 @@
     term: int
     record: GuardKey
     lease_id: int  # of the lease in the state service
-    lease: LeaderLease  # until when the leader may act, by its own clock
+    lease: HeldLease  # until when the leader may act, by its own clock
     delegates: bool = False  # whether the leader delegates work to the holders of duties
 
 
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -362,7 +362,7 @@
         assert index is not None
         host, controller = world.controllers[index]
         context = world.context(host)
-        await world.loop.create_task(controller.release(), context=context)
+        await world.loop.create_task(controller.release_duties(), context=context)
         world.crash_controller(index, 60.0)
         took = await until(world, lambda: holder(world, Duty.SCALE_OUT) not in (None, index))
         assert took < 2.0  # the lease alone would have taken five
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -14,7 +14,7 @@
 from peathall.cells.model import CapacityRow
 from peathall.cells.spill import Backoff, SpillRule, expected_wait_s
 from peathall.config.platform import Objective
-from peathall.leadership.lease import LeaderLease
+from peathall.leadership.lease import HeldLease
 from peathall.placement.views import JobView, MachineDetail, MachineView, Victim
 from peathall.protocol.jobs import JobSpec, decode_submission
 from tests.sim.cells_world import gang
@@ -50,7 +50,7 @@
 def test_the_homes_count_of_a_lease_ends_last(way_s: float, drift: float) -> None:
     """Whatever the way took, and whichever clock runs faster."""
     lease_s, lapse_s = 600.0, 25.0
-    borrower = LeaderLease(lease_s, 0.0)
+    borrower = HeldLease(lease_s, 0.0)
     home = LentLease(lease_s, lapse_s, 0.0)
     home.confirm(way_s, lapse_s)
     stopped = borrower.until / (1 + drift)  # in true time
--- a/tests/unit/test_leader.py
+++ b/tests/unit/test_leader.py
@@ -25,7 +25,7 @@
 from peathall.leader.phase import LeaderPhase
 from peathall.leader.term import Leader
 from peathall.leadership.election import Election, ElectionPhase
-from peathall.leadership.lease import LeaderLease
+from peathall.leadership.lease import HeldLease
 from peathall.leadership.term import LeaderTerm
 from peathall.operator_config.settings import Operator
 from peathall.store.errors import StoreError
@@ -96,7 +96,7 @@
         TERM,
         GuardKey("lead", {}, 3, LEASE),
         LEASE,
-        LeaderLease(constants.LEADER_LEASE_TTL_S, now),
+        HeldLease(constants.LEADER_LEASE_TTL_S, now),
         duties is not None,
     )
     return Leader(term, context), leadership
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -12,7 +12,7 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import StateSettings
-from peathall.leadership.lease import first_attempt
+from peathall.leadership.lease import first_number_of_term
 from peathall.placement.plan import Assignment, Plan
 from peathall.placement.rounds import ROUND, RoundRecords, from_record
 from peathall.protocol.codec import json_size
@@ -80,7 +80,7 @@
         entries = [entry for item in items(store) for entry in from_record(item.value)]
         assert sorted(e.tasks[0][0] for e in entries if e.job == "j-1") == list(range(30))
         # The next leader reads just these.
-        after = ClusterState(TERM + 1, first_attempt(TERM + 1))
+        after = ClusterState(TERM + 1, first_number_of_term(TERM + 1))
         after.jobs["j-1"] = Job(spec(id="j-1", daemon=True, tasks=30))
         RoundRecords(after, writer).load(items(store), 0.0)
         assert len(after.jobs["j-1"].attempts) == 30
@@ -198,7 +198,7 @@
         for stored in range(len(values)):
             workers = new_workers(now)
             workers.cluster.term = TERM + 1
-            workers.cluster.next_attempt = first_attempt(TERM + 1)
+            workers.cluster.next_attempt = first_number_of_term(TERM + 1)
             wide_gang(workers, 130)
             gang = workers.cluster.jobs["j-2"]
             placement = new_placement(workers, writer)
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -14,7 +14,7 @@
 from peathall.config.platform import StateSettings
 from peathall.jobs.follower import FollowerService
 from peathall.jobs.records import DONE, block_tasks, done_key, done_record
-from peathall.leadership.lease import LeaderLease, fencing_token, first_attempt
+from peathall.leadership.lease import HeldLease, fencing_token, first_number_of_term
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
 from peathall.protocol.codec import json_size, struct_to_builtins
 from peathall.protocol.state_service import KeyValue, Put, WatchEvent
@@ -249,7 +249,7 @@
 
 
 def test_the_leader_lease_counts_from_sending_the_renewal() -> None:
-    lease = LeaderLease(5.0, 100.0)
+    lease = HeldLease(5.0, 100.0)
     assert lease.is_valid(104.6)
     assert not lease.is_valid(104.75)
     lease.record_renewal(103.0)
@@ -260,7 +260,7 @@
 
 def test_fencing_tokens_and_attempts_of_a_later_term_are_higher() -> None:
     assert fencing_token(1, 2**24 - 1) < fencing_token(2, 0)
-    assert first_attempt(2) == fencing_token(2, 0)
+    assert first_number_of_term(2) == fencing_token(2, 0)
 
 
 def test_records_stay_under_the_size_limit() -> None:
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -42,7 +42,7 @@
 from peathall.jobs.jobs import Jobs
 from peathall.jobs.live_index import LiveJobIndex
 from peathall.leadership.election import Election
-from peathall.leadership.lease import LeaderLease, first_attempt
+from peathall.leadership.lease import HeldLease, first_number_of_term
 from peathall.leadership.term import LeaderTerm
 from peathall.placement.plan import Assignment
 from peathall.placement.rounds import RoundRecords
@@ -248,7 +248,7 @@
 async def leading(store: RecordingStore) -> AsyncIterator[Jobs]:
     """A leader's jobs in term 7 whose writer runs; a machine type and two machines are known."""
     jobs = leader(store, TERM)
-    jobs.cluster.next_attempt = first_attempt(TERM)
+    jobs.cluster.next_attempt = first_number_of_term(TERM)
     jobs.cluster.types = {"g": machine_type()}
     for name in ("m-1", "m-2"):
         jobs.cluster.machine(name, "g", "a", True, MachinePhase.UP, 0.0)
@@ -648,7 +648,7 @@
     store.write(key, HOLDER)
     holder = HolderRecord(member="hall-1", token=5, lease=71, since=WALL, vacant_s=2.5)
     record = GuardKey(key, HOLDER, store.revision, LEASE)
-    tenure = Tenure(holder, record, LeaderLease(20.0, 0.0))
+    tenure = Tenure(holder, record, HeldLease(20.0, 0.0))
     claim: Any = SimpleNamespace(may_act=lambda: True, may_begin=lambda: True, lost=lambda: None)
     executor = DutyExecutor(duty, claim, tenure, store, LIMITS, cloud)
     task = asyncio.create_task(executor.run())
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -19,7 +19,7 @@
     Team,
     WorkerSettings,
 )
-from peathall.leadership.lease import fencing_token, first_attempt
+from peathall.leadership.lease import fencing_token, first_number_of_term
 from peathall.placement.placement import Placement
 from peathall.placement.rounds import RoundRecords
 from peathall.placement.views import MachineView
@@ -71,7 +71,7 @@
 
 def new_cluster() -> tuple[ClusterState, RoundEvents]:
     events = RoundEvents()
-    return ClusterState(TERM, first_attempt(TERM), events), events
+    return ClusterState(TERM, first_number_of_term(TERM), events), events
 
 
 def new_workers(now: float) -> Workers:
@@ -202,7 +202,7 @@
     """After a failover there is nothing to compare it with; the current heartbeat follows."""
 
     def test(workers: Workers) -> None:
-        attempt = sent_attempt(workers, first_attempt(TERM - 1) + 1)  # runs in epoch 2
+        attempt = sent_attempt(workers, first_number_of_term(TERM - 1) + 1)  # runs in epoch 2
         workers.handle_heartbeat(report(1, 9, fencing_token(TERM - 1, 3)), 1.0)
         assert attempt.phase is AttemptPhase.SENT
         workers.handle_heartbeat(report(2, 12, fencing_token(TERM - 1, 8), [running(attempt)]), 2.0)
