--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -121,31 +121,32 @@
 DIRECT_TIMEOUT_S = 2.0  # a direct command without a response is repeated by the next heartbeat
 
 # --- placement ----------------------------------------------------------------------------------
-ROUND_GAP_S = 0.2  # least distance of two rounds: what arrives together is decided together
-ROUND_LOAD = 6.0  # times the last round's duration is left between rounds: batches widen with load
-ROUND_SLICE_S = 0.01  # a round yields to the event loop after deciding for so long
-ROUND_COMPACT_S = 60.0  # most rounds are over by then, and deleted without a further write
-ROUND_COMPACT_FACTOR = 4  # a record that names so many times the live attempts is worth a write
-ROUND_IDLE_S = 2.0  # a round also runs this often, since deadlines and health change with time
-SHAPE_MEMORY_S = 180.0  # capacity is spared for the next gang of a class seen this recently
+ROUND_GAP_S = 0.2  # minimum pause before a round, so that changes close in time share one
+ROUND_LOAD = 6.0  # times the last round's duration: pause after a round, which limits the load
+ROUND_SLICE_S = 0.01  # planning time after which a round yields to the event loop
+ROUND_COMPACT_S = 60.0  # minimum age of a compacted round record: most are deleted earlier
+ROUND_COMPACT_FACTOR = 4  # times the live attempts: a record that names more is compacted
+ROUND_IDLE_S = 2.0  # between rounds without a request: deadlines and health change with time
+SHAPE_MEMORY_S = 180.0  # after a gang of a class arrives, capacity is left free for the next one
 STABLE_START_S = 31.0  # a start that is stopped within 30 s does not count for the objectives
-# Times the checkpoint time: a task that checkpoints by itself so often loses, with half an
-# interval, at most twice as long as a checkpoint would delay the preempting job.
+# Times the duration of a checkpoint. A task with periodic checkpoints at most this far apart is
+# preempted without a new one: it loses half an interval on average, at most twice the delay that a
+# checkpoint would cost the preempting job.
 CHECKPOINT_WORTH = 4.0
-RESTART_S = 10.0  # what a preempted task loses besides work: queueing, a start, perhaps a fetch
-# Replicas of any jobs on one machine before other machines are preferred, so that its end costs
-# few of them. With less, more would have to fetch their image and start late.
+RESTART_S = 10.0  # time that a preempted task loses to queueing, starting and perhaps fetching
+# Number of replicas on one machine from which other machines are preferred, so that the loss of a
+# machine costs few replicas. A lower number makes more replicas fetch their image and start late.
 REPLICAS_TOGETHER = 8
-JOB_SIZE_WEIGHT = 3.0  # times the seconds a job would fill the fleet are added to its latest start
-CANARY_DELAY_S = 1e6  # canaries of failing jobs come after all other jobs of their priority
-# A job none of whose tasks has been placed for so long goes before all others: the largest must
-# begin within four minutes, however many smaller ones come.
+JOB_SIZE_WEIGHT = 3.0  # times the seconds a job would fill the cluster: added to its latest start
+CANARY_DELAY_S = 1e6  # sorts canaries of failing jobs after other jobs of their priority
+# Time without any attempt after which a job goes before all others, so that the largest jobs start
+# within four minutes, however many smaller ones arrive.
 STARVING_S = 150.0
-GANG_STARVING_STEP_S = 10.0  # for each task of a gang but one, it counts as starving so much sooner
-GANG_STARVING_MOST_S = 90.0  # ... at most
-ESTIMATE_FLOOR = 0.3  # of the estimate is expected to remain of a task that outlives it
-FETCH_WORTH_S = 10.0  # a longer image fetch is worth preempting on a machine that has the image
-URGENT_S = 30.0  # with more time left to meet an objective, a job waits rather than preempts
+GANG_STARVING_STEP_S = 10.0  # a gang counts as starving this much sooner per task after the first
+GANG_STARVING_MOST_S = 90.0  # maximum of that sum for one gang
+ESTIMATE_FLOOR = 0.3  # of the estimated run time: minimum expected to remain of a running task
+FETCH_WORTH_S = 10.0  # image fetch time from which preempting where the image is cached is better
+URGENT_S = 30.0  # time left to meet an objective below which a job may preempt others
 
 # --- autoscaling --------------------------------------------------------------------------------
 LIST_S = 3.0  # between reads of the machine list, at least
--- a/peathall/placement/bin_packing.py
+++ b/peathall/placement/bin_packing.py
@@ -7,11 +7,11 @@
 
 from peathall.protocol.jobs import JobSpec
 
-EPS = 1e-6  # of a CPU, GPU or GB; sums of decimal numbers are not exact
+EPS = 1e-6  # CPUs, GPUs or GB; tolerance for rounding errors in sums of decimal fractions
 
 
 def fits_in(free: Sequence[float], spec: JobSpec) -> int:
-    """How many tasks of the job fit into so many CPUs, GPUs and GB."""
+    """Return how many tasks of the job fit into `free` (CPUs, GPUs, GB of memory)."""
     count = spec.tasks
     if spec.cpus > 0:
         count = min(count, int((free[0] + EPS) / spec.cpus))
@@ -23,7 +23,7 @@
 
 
 class MachineKind(Protocol):
-    """What a job may restrict: machine type, zone, and whether spot machines will do."""
+    """The attributes of machines that a job can restrict: type, zone, and use of spot machines."""
 
     @property
     def type(self) -> str:
@@ -35,11 +35,11 @@
 
     @property
     def spot(self) -> bool:
-        """Whether the cloud may take it back at any time."""
+        """Whether the cloud provider may reclaim the machine at any time."""
 
 
 def allowed(machine: MachineKind, spec: JobSpec) -> bool:
-    """Whether the job's restrictions admit such machines."""
+    """Whether the job's restrictions on type, zone and spot admit the machine."""
     return (
         (spec.types is None or machine.type in spec.types)
         and (spec.zone is None or machine.zone == spec.zone)
--- a/peathall/placement/capacity.py
+++ b/peathall/placement/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity of machines for a job: free, being freed, or freed by preemption. Pure."""
+"""Capacity of machines for a job: free, being freed, or freed by preemption. No side effects."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 
 class MachineCapacity(Struct, frozen=True):
-    """Capacity for some tasks on one machine, and what would have to be preempted for it."""
+    """Capacity for `count` tasks on one machine, and the attempts to preempt for it."""
 
     machine: MachineView
     count: int
     victims: tuple[Victim, ...] = ()
-    cost: float = 0.0  # machine seconds that the victims would lose
+    cost: float = 0.0  # machine seconds of work that preempting the victims would lose
 
     def at_most(self, count: int) -> MachineCapacity:
-        """The same for no more tasks than that."""
+        """A copy for at most `count` tasks."""
         return structs.replace(self, count=min(self.count, count))
 
 
 def capacity_with_victims(
     machine: MachineView, spec: JobSpec, wanted: int, may_stop: Callable[[Victim], bool]
 ) -> MachineCapacity:
-    """Capacity for up to `wanted` tasks, with as few victims as that needs."""
+    """Capacity for up to `wanted` tasks, preempting victims in order only until they fit."""
     available = machine.available()
     count = min(fits_in(available, spec), wanted)
     found = MachineCapacity(machine, count)
@@ -55,8 +55,8 @@
 
 
 def free_in(machine: MachineView, spec: JobSpec) -> tuple[float, int]:
-    """After how many seconds a task of the job fits, and how many then, if nothing else is
-    started on the machine."""
+    """Seconds until a task of the job fits on the machine, and how many tasks fit then, assuming
+    that attempts end as estimated and nothing else starts on the machine."""
     available = machine.available()
     wait_s = 0.0
     for victim in machine.detail().by_expected_end:
@@ -70,9 +70,9 @@
 
 
 def pack_gang(spec: JobSpec, machines: list[MachineView]) -> list[tuple[MachineView, int]] | None:
-    """Machines for all tasks of a gang and how many go to each, where `machines` are in order of
-    preference; None if not all of them fit."""
-    most_per_zone = (spec.tasks + 1) // 2  # of a job that is to be spread
+    """Distribute all tasks of a gang over `machines`, which are in order of preference. Returns
+    pairs of machine and task count; None if the gang does not fit."""
+    most_per_zone = (spec.tasks + 1) // 2  # for a job that must be spread over zones
     per_zone: dict[str, int] = {}
     left = spec.tasks
     chosen = []
--- a/peathall/placement/capacity_requests.py
+++ b/peathall/placement/capacity_requests.py
@@ -1,4 +1,4 @@
-"""Requests to reserve capacity for other cells' jobs, which the next round answers."""
+"""Requests to reserve capacity for jobs of other cells; the next scheduling round answers them."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class CapacityRequest(Struct, frozen=True):
-    """Another cell's job for which capacity is to be reserved, if the next round leaves enough."""
+    """A request to reserve capacity that the next round leaves free, for a job of another cell."""
 
     spec: JobSpec
-    until: float  # steady time at which the reservation expires
+    until: float  # monotonic time at which the reservation expires
     granted: asyncio.Future[bool]
 
 
 class CapacityRequests:
-    """The requests that no round has answered yet."""
+    """The requests that no round has answered yet, and their answers."""
 
     def __init__(self, reservations: Reservations, request_round: Callable[[], None]) -> None:
         self._reservations = reservations
@@ -33,15 +33,15 @@
         return bool(self._requests)
 
     async def reserve(self, spec: JobSpec, until: float) -> bool:
-        """Reserve capacity for all of the job until then; False if the next round has not enough
-        left."""
+        """Reserve capacity for all tasks of the job until the monotonic time `until`. Returns False
+        if the next round leaves too little capacity."""
         request = CapacityRequest(spec, until, asyncio.get_running_loop().create_future())
         self._requests.append(request)
         self._request_round()
         return await request.granted
 
     def answer(self, current: Round) -> None:
-        """Grant the requests from what the round has left."""
+        """Answer all requests, reserving capacity that the round has left free."""
         requests, self._requests = self._requests, []
         for request in requests:
             assignments = current.reserve(JobViews.other_cells_view(request.spec))
--- a/peathall/placement/context.py
+++ b/peathall/placement/context.py
@@ -1,4 +1,4 @@
-"""What all views of a round have in common."""
+"""Data of the current round that views of jobs, machines and victims share."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class RoundContext(Struct):
-    """The round that was begun last."""
+    """Start time of the latest round, and the jobs within quota in that round."""
 
-    wall: float = 0.0  # time of day at its beginning
-    now: float = 0.0  # steady time at its beginning
-    within_quota: set[str] = field(default_factory=set)  # jobs within their teams' quotas
+    wall: float = 0.0  # wall-clock time at the start of the round
+    now: float = 0.0  # monotonic time at the start of the round
+    within_quota: set[str] = field(default_factory=set)  # ids of jobs within quota
--- a/peathall/placement/job_views.py
+++ b/peathall/placement/job_views.py
@@ -1,4 +1,4 @@
-"""Views of jobs: those of which a task may start or a replica is to move."""
+"""Views of the jobs that have a task to start or a replica to move."""
 
 from __future__ import annotations
 
@@ -18,12 +18,14 @@
 
 
 def is_starving(job: Job, now: float) -> bool:
-    """Whether none of its tasks has run for so long, up to this steady time, that it goes first."""
+    """Whether the job has been without attempts for so long, at monotonic time `now`, that it is
+    placed before all others."""
     return now - job.idle_since > constants.STARVING_S - gang_starving_bonus_s(job.spec)
 
 
 def startable_tasks(job: Job, now: float) -> int:
-    """How many of its tasks may start at this steady time: of a failing job, one canary."""
+    """How many tasks of the job may start at monotonic time `now`. Of a failing job only one task
+    starts, as a canary, or the whole gang."""
     if job.on_hold or now < job.backoff_until:
         return 0
     if job.health is not JobHealth.FAILING:
@@ -34,7 +36,7 @@
 
 
 class JobViews:
-    """Makes the views, and says what else of the jobs a round must take into account."""
+    """Builds the views, and collects the recent gangs and reserved quota that a round considers."""
 
     def __init__(
         self,
@@ -52,11 +54,11 @@
         self._gang_shapes: dict[str, JobSpec] = {}  # by class
 
     def active(self) -> list[Job]:
-        """Jobs with work left."""
+        """Jobs that have not ended."""
         return [job for job in self.cluster.jobs.values() if job.phase is JobPhase.ACTIVE]
 
     def views(self) -> list[JobView]:
-        """Jobs of which a task may start or a replica is to move."""
+        """Views of the jobs that have a task to start or a replica to move."""
         views = []
         for job in self.active():
             startable, moving = startable_tasks(job, self.context.now), self._moving(job)
@@ -66,11 +68,11 @@
 
     @staticmethod
     def other_cells_view(spec: JobSpec) -> JobView:
-        """Another cell's job for which capacity is to be reserved."""
+        """View of a job of another cell for which capacity is to be reserved."""
         return JobView(spec, spec.tasks, urgent=False, borrowed=True)
 
     def gang_shapes(self) -> list[JobSpec]:
-        """The largest gang of each class among those submitted recently."""
+        """The largest recently submitted gang of each class."""
         gangs = [job.spec for job in self.cluster.jobs.values() if job.spec.gang]
         recent = [
             spec
@@ -85,11 +87,11 @@
         return list(self._gang_shapes.values())
 
     def reserved(self) -> list[tuple[JobSpec, int]]:
-        """For which jobs part of the teams' limits is reserved, and for how many tasks."""
+        """Jobs for which part of their team's limit is reserved, each with the number of tasks."""
         return [*self._lost_replicas(), *self.reservations.for_other_cells()]
 
     def _lost_replicas(self) -> list[tuple[JobSpec, int]]:
-        """Of each daemon that has run before, how many replicas are missing."""
+        """Daemons that have run before, each with the number of missing replicas."""
         return [
             (job.spec, len(job.pending))
             for job in self.active()
@@ -100,15 +102,15 @@
         ]
 
     def _zone_unknown(self, job: Job) -> bool:
-        """Whether its other tasks determine where the next may go, and one of them is on a machine
-        whose zone is not known: one known from records only, with no heartbeat and not listed by
-        the cloud yet."""
+        """Whether the job has a zone rule and a task on a machine whose zone is unknown. Such a
+        machine is known from stored records only: it has sent no heartbeat yet and the cloud
+        provider has not listed it yet."""
         if not (job.spec.one_zone or job.spec.spread):
             return False
         return any(not self.cluster.machines[a.machine].zone for a in job.attempts.values())
 
     def _moving(self, job: Job) -> list[MovingReplica]:
-        """Replicas on machines that are being drained: they would never end by themselves."""
+        """Replicas on draining machines, which must be moved: they never end by themselves."""
         if not job.spec.daemon:
             return []
         moving = []
@@ -146,7 +148,7 @@
         return JobView(
             job.spec,
             startable,
-            # Nothing makes the canary of a failing job urgent: it waits for capacity left over.
+            # The canary of a failing job is never urgent: it uses capacity that others leave.
             latest_start=self.context.wall + constants.CANARY_DELAY_S,
             running_zones=self._running_zones(job),
             urgent=False,
@@ -173,7 +175,7 @@
         return frozenset(self.faults.machines_to_avoid(job))
 
     def _running_zones(self, job: Job) -> dict[str, int]:
-        """Zone -> tasks there, for a job whose rules depend on it."""
+        """Zone -> tasks there; empty unless the job has a zone rule."""
         zones: dict[str, int] = {}
         if job.spec.one_zone or job.spec.spread:
             for attempt in job.attempts.values():
@@ -186,7 +188,7 @@
         return {a.machine for a in job.attempts.values()} if job.spec.daemon else ()
 
     def _fetch_s(self, spec: JobSpec) -> float:
-        """Time to fetch the job's image on the slowest type of machine that it may use."""
+        """Seconds to fetch the image on the slowest machine type that the job allows."""
         types = self.cluster.types.values()
         rates = [t.fetch_gb_per_s for t in types if spec.types is None or t.name in spec.types]
         return spec.image_gb / min(rates, default=1.0)
--- a/peathall/placement/machine_views.py
+++ b/peathall/placement/machine_views.py
@@ -1,4 +1,4 @@
-"""Views of machines: those that take new work, and those that are starting."""
+"""Views of the machines that accept new tasks, and of those that are starting."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from peathall.placement.views import MachineDetail, MachineView
 from peathall.workers.workers import Workers
 
-# Heartbeats come up to a quarter of an interval late.
+# Heartbeats arrive up to a quarter of an interval late.
 LATE_HEARTBEAT_FACTOR = 1.25
 
 
 class MachineViews:
-    """Makes the views. A machine's details are loaded only once a decision depends on them."""
+    """Builds the views. A machine's details are loaded only when a decision depends on them."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         context: RoundContext,
         report_s: float,
     ) -> None:
-        """`report_s` is the interval of heartbeats, in seconds."""
+        """`report_s` is the heartbeat interval in seconds."""
         self.cluster = cluster
         self.workers = workers
         self.reservations = reservations
@@ -36,7 +36,7 @@
         self.heartbeat_s = report_s * LATE_HEARTBEAT_FACTOR
 
     def schedulable(self) -> list[MachineView]:
-        """Machines that take new work."""
+        """Machines that accept new tasks."""
         reserved = self.reservations.capacity()
         return [
             self._view(machine, reserved.get(machine.name))
@@ -45,7 +45,7 @@
         ]
 
     def starting(self, now: float) -> list[tuple[float, MachineView]]:
-        """Machines that are starting, and in how many seconds they should be up."""
+        """Machines that are starting, each with the expected seconds until it is up."""
         return [
             (max(1.0, self.cluster.types[machine.type].startup_s - (now - machine.created_at)),
              self._view(machine, None))
@@ -54,8 +54,8 @@
         ]  # fmt: skip
 
     def is_schedulable(self, machine: Machine, now: float) -> bool:
-        """Whether it takes new work: it is up, acknowledges our answers, and its last heartbeat is
-        recent."""
+        """Whether the machine accepts new tasks: it is up, acknowledges this leader's responses,
+        and its last heartbeat is recent."""
         health = self.workers.health
         silent_s = health.seconds_since_heartbeat(machine, now)
         return (
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -1,9 +1,10 @@
-"""Sort keys: jobs among jobs, and machines for a task.
+"""Sort keys for pending jobs, and for the machines on which a task could run.
 
-Jobs are ordered by priority, then by whether the team's quota covers the job, then by who must
-start first to meet a service-level objective, then by age. Machines for a task are ordered as the
-paper does: image cached, latest heartbeat, least memory left, least CPU left, hash; before that
-comes the number of GPUs, so that scarce types stay free for what fits nowhere else.
+Jobs are ordered by priority, then by whether the team's quota covers the job, then gangs before
+independent tasks, then by the latest start that meets a service-level objective, then by age.
+Machines are ordered by number of GPUs, so that scarce types stay free for tasks that fit nowhere
+else, and then as the paper behind this scheduler prescribes: image cached, latest heartbeat, least
+memory left, least CPU left, hash.
 """
 
 from __future__ import annotations
@@ -15,16 +16,18 @@
 from peathall.placement.views import JobView, MachineView
 from peathall.protocol.jobs import JobSpec, Priority
 
-# Jobs that can no longer meet any objective sort after all others, in order of submission.
+# Added to the submission time of jobs that can no longer meet any objective: they sort after the
+# comparable jobs that can, in order of submission.
 OBJECTIVES_MISSED_S = 1e7
 
 
 def machine_sort_key(
     machine: MachineView, spec: JobSpec, prefer_spot: bool, hash_seed: int
 ) -> tuple[float, ...]:
-    """The paper's order of hosts, after what is scarce: GPUs, and machines that are not spot while
-    there are jobs that may use no others. Replicas go to machines with few others. `hash_seed` is
-    the hash of the job, which the hash of the machine continues."""
+    """Sort key of a machine for a task of the job, best first. Machines with scarce properties come
+    last: those with GPUs, and those that are not spot while some job must not use spot machines
+    (`prefer_spot`). Replicas prefer machines with few replicas. `hash_seed` is the CRC of the job,
+    which the CRC of the machine name continues."""
     cached = spec.image in machine.images
     return (
         machine.gpus,
@@ -33,7 +36,7 @@
         not cached,
         not cached and spec.image not in machine.detail().fetching,
         machine.missed_intervals,
-        not machine.spot,  # the dearer machines become idle first and are scaled in
+        not machine.spot,  # the more expensive machines become idle first and are scaled in
         machine.free[2],
         machine.free[0],
         crc32(machine.name_bytes, hash_seed),
@@ -41,8 +44,8 @@
 
 
 def latest_start(spec: JobSpec, objectives: list[Objective], now: float, fetch_s: float) -> float:
-    """Time of day by which the job must start to meet the next objective of its class that can
-    still be met."""
+    """Wall-clock time by which the job must start to meet the earliest objective of its class that
+    can still be met; far in the future if none can."""
     best: float | None = None
     for objective in objectives:
         if objective.class_name != spec.class_name:
@@ -62,16 +65,16 @@
 
 
 def cluster_seconds(job: JobView, totals: tuple[float, float]) -> float:
-    """Seconds for which the job's pending tasks would use all machines; `totals` are the CPUs and
-    GPUs of these."""
+    """Seconds for which the job's pending tasks would fill the whole cluster; `totals` are the CPUs
+    and GPUs of all machines."""
     spec = job.spec
     shares = [n / t for n, t in zip((spec.cpus, spec.gpus), totals, strict=True) if t > 0]
     return job.pending * max(shares, default=0.0) * spec.estimate_s
 
 
 def gang_starving_bonus_s(spec: JobSpec) -> float:
-    """By how many seconds sooner a gang counts as starving: its machines become free one by
-    one."""
+    """Seconds by which a gang counts as starving sooner, since the machines that it needs become
+    free one by one; 0 for independent tasks."""
     return (
         min(constants.GANG_STARVING_MOST_S, constants.GANG_STARVING_STEP_S * (spec.tasks - 1))
         if spec.gang
@@ -80,16 +83,16 @@
 
 
 def job_sort_key(job: JobView, totals: tuple[float, float]) -> tuple[float, ...]:
-    """The sort key of a job among all that are pending; `totals` are the CPUs and GPUs of all
-    machines."""
+    """Sort key of a job among the pending jobs; the lowest is placed first. `totals` are the CPUs
+    and GPUs of all machines."""
     spec = job.spec
     if job.borrowed:
-        return (Priority.IDLE + 1, spec.priority, spec.submitted)  # after all that is ours
+        return (Priority.IDLE + 1, spec.priority, spec.submitted)  # after all jobs of this cell
     if job.is_starving:
         return (-1, spec.submitted - gang_starving_bonus_s(spec))
-    # Small jobs go before large ones of about the same urgency: when not all can be in
-    # time, more of them are.
+    # Small jobs go before large ones of about the same urgency, so that more jobs meet their
+    # objectives when not all can.
     start = job.latest_start + constants.JOB_SIZE_WEIGHT * cluster_seconds(job, totals)
-    # Gangs go before independent tasks of their priority: those fit into any capacity that is
-    # left, while a gang would wait indefinitely for all of its capacity at once.
+    # Gangs go before independent tasks of the same priority: independent tasks fit into any
+    # capacity that is left, while a gang needs all of its capacity at once and would never get it.
     return (spec.priority, not job.within_quota, not spec.gang, start, spec.submitted)
--- a/peathall/placement/placement.py
+++ b/peathall/placement/placement.py
@@ -1,4 +1,4 @@
-"""Rounds at the leader: take a snapshot, decide, and carry out the plan."""
+"""The leader's scheduling rounds: take a snapshot, plan, and carry out the plan."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 
 
 class DemandListener(Protocol):
-    """Finds capacity elsewhere for what a round could not place."""
+    """Finds capacity elsewhere for tasks that a round could not place."""
 
     def note_unplaced(self, plan: Plan) -> None:
-        """What a round could not place, and the capacity that it left free."""
+        """Receive the plan of a round, with its unplaced tasks and remaining free capacity."""
 
 
 class Placement:
-    """The leader's loop of rounds. `wall` gives the time of day; other times are steady."""
+    """The leader's loop of rounds. `wall` returns wall-clock time; other times are monotonic."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self.demand = demand
         self.loop = asyncio.get_running_loop()
         self.wake = asyncio.Event()
-        # Held by a round while it decides and allocates, and by whoever else uses up teams' limits.
+        # Held by a round while it plans and allocates, and by other code that uses up team limits.
         self.decision_lock = asyncio.Lock()
         self.reservations = Reservations()
         self.requests = CapacityRequests(self.reservations, self.request_round)
@@ -63,11 +63,11 @@
 
     # --- rounds --------------------------------------------------------------
     def request_round(self) -> None:
-        """Something changed: run a round soon."""
+        """Request a round soon, after a change of jobs, machines or reservations."""
         self.wake.set()
 
     async def run(self) -> None:
-        """Run rounds until cancelled; the pause between two grows with what a round takes."""
+        """Run rounds until cancelled. The pause between rounds grows with their duration."""
         while True:
             try:
                 await asyncio.wait_for(self.wake.wait(), constants.ROUND_IDLE_S)
@@ -84,7 +84,7 @@
             )
 
     async def round(self, now: float) -> None:
-        """Decide, and carry out the plan."""
+        """Plan one round and carry out the plan."""
         async with self.decision_lock:
             plan = await self.decide(now)
             for listener in self.demand:
@@ -97,8 +97,8 @@
                 await self.starter.start(plan.assignments, now)
 
     async def decide(self, now: float) -> Plan:
-        """One plan, on views made at its beginning. Other coroutines run between jobs: a long
-        round must not delay heartbeats, users and the renewal of the leader lease."""
+        """Plan a round on views built at its start. The coroutine yields between jobs, so that a
+        long round does not delay heartbeats, user requests or the renewal of the leader lease."""
         snapshot = self.snapshot
         snapshot.begin(self.wall(), now)
         self.reservations.prune(self.cluster, snapshot.machines.is_schedulable, now)
@@ -126,21 +126,21 @@
 
     # --- machines ------------------------------------------------------------
     def free_machines(self) -> list[MachineView]:
-        """Machines that take new work, with the capacity that is neither used nor reserved."""
+        """Machines that accept new tasks, with their capacity that is neither used nor reserved."""
         return self.snapshot.machines.schedulable()
 
     def starting_machines(self) -> list[tuple[float, MachineView]]:
-        """Machines that are starting, and in how many seconds they should be up."""
+        """Machines that are starting, each with the expected seconds until it is up."""
         return self.snapshot.machines.starting(self.loop.time())
 
     def drain_machine(self, machine: Machine, now: float) -> None:
-        """The cloud takes the machine back soon: stop what would not end before."""
+        """Stop the attempts that would not end before the cloud provider reclaims the machine."""
         self.eviction.drain(machine, now)
 
     # --- other cells' jobs ---------------------------------------------------
     async def reserve(self, spec: JobSpec, until: float) -> bool:
-        """Reserve capacity for all of the job until then; False if the next round has not enough
-        left."""
+        """Reserve capacity for all tasks of the job until the monotonic time `until`. Returns False
+        if the next round leaves too little capacity."""
         return await self.requests.reserve(spec, until)
 
     def release(self, spec: JobSpec) -> None:
--- a/peathall/placement/plan.py
+++ b/peathall/placement/plan.py
@@ -1,4 +1,4 @@
-"""The result of a round: what is to be started, stopped and moved, and what found no capacity."""
+"""The result of a round: tasks to start, preempt and move, and tasks that found no capacity."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-if TYPE_CHECKING:  # views name tasks by the key below
+if TYPE_CHECKING:  # for annotations only
     from peathall.placement.views import JobView
 
 
@@ -18,7 +18,7 @@
 
 
 class Assignment(Struct):
-    """Some tasks of a job are to start on a machine."""
+    """The decision to start `count` tasks of a job on a machine."""
 
     job: str
     machine: str
@@ -26,7 +26,7 @@
 
 
 class Move(Struct, frozen=True):
-    """A replica is to be stopped, since capacity for it is reserved on another machine."""
+    """The decision to move a replica: reserve capacity on `machine`, then stop the replica."""
 
     job: str
     task: int
@@ -34,12 +34,12 @@
 
 
 class Plan(Struct):
-    """What a round decided."""
+    """The decisions of a round."""
 
     assignments: list[Assignment] = field(default_factory=list)
-    stops: list[TaskKey] = field(default_factory=list)  # to be preempted
+    stops: list[TaskKey] = field(default_factory=list)  # tasks to preempt
     moves: list[Move] = field(default_factory=list)
-    # Jobs that lack capacity, and for how many tasks.
+    # Jobs that lack capacity, each with the number of tasks that found none.
     unplaced: list[tuple[JobView, int]] = field(default_factory=list)
     # Machine -> CPUs, GPUs and GB of memory that the round left free.
     free_capacity: dict[str, list[float]] = field(default_factory=dict)
--- a/peathall/placement/planned_stops.py
+++ b/peathall/placement/planned_stops.py
@@ -1,4 +1,4 @@
-"""The preemptions that a round has decided so far, and the capacity that they will free. Pure."""
+"""The preemptions that a round has planned so far, and the capacity that they will free."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
     def __init__(self, pool: MachinePool, plan: Plan) -> None:
         self._pool = pool
         self._plan = plan
-        self.keys: set[tuple[str, int]] = set()  # of what is preempted; a set for fast lookup
-        self._freed: dict[str, list[float]] = {}  # team -> CPUs and GPUs
+        self.keys: set[tuple[str, int]] = set()  # tasks to preempt; a set for fast lookup
+        self._freed: dict[str, list[float]] = {}  # team -> CPUs and GPUs that preemptions free
 
     def add(self, victim: Victim) -> None:
-        """Plan to preempt the victim: its capacity counts as being freed, on its machine and under
-        its team's limit."""
+        """Plan to preempt the victim. Its capacity then counts as being freed, on its machine and
+        under its team's limit."""
         if victim.key in self.keys:
             return
         self.keys.add(victim.key)
--- a/peathall/placement/planner.py
+++ b/peathall/placement/planner.py
@@ -1,4 +1,4 @@
-"""One round of placement decisions; pure: same arguments, same plan."""
+"""One round of placement decisions, without side effects: the same arguments give the same plan."""
 
 from __future__ import annotations
 
@@ -19,9 +19,10 @@
 class Round:
     """The decisions of one round: starts, preemptions, moves, and which jobs lack capacity.
 
-    `usage` are CPUs and GPUs that each team uses; `reserved` is for how many tasks of which jobs
-    part of their team's limit is reserved; `lowest_priority` that of all that runs, looked up on
-    the machines if it is not given. For the others see `MachinePool` and `Preemption`.
+    `usage` holds the CPUs and GPUs that each team uses. `reserved` lists jobs, each with the number
+    of tasks for which part of their team's limit is reserved. `lowest_priority` is the lowest
+    priority of all running attempts (the highest number); by default it is looked up on the
+    machines. `MachinePool` and `Preemption` describe the other arguments.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self.preemption = Preemption(self.pool, self.quotas, self.plan, lowest_priority, team_work)
 
     def run(self, jobs: list[JobView]) -> Iterator[None]:
-        """Place the jobs one by one; the caller may let other coroutines run in between."""
+        """Place the jobs one by one; the caller may run other coroutines at each yield."""
         waiting = [job for job in jobs if job.pending > 0 or job.moving]
         if not waiting:
             return
@@ -60,8 +61,8 @@
         self.plan.free_capacity = {m.name: m.free for m in self.pool.machines}
 
     def reserve(self, job: JobView) -> list[Assignment]:
-        """Capacity for all of the job's tasks, of what is left after all jobs of the round; empty
-        if it does not suffice. To be called after `run`."""
+        """Find capacity for all tasks of the job that the jobs of the round have left free. Must be
+        called after `run`. Returns an empty list if the capacity does not suffice."""
         spec = job.spec
         if self.quotas.allowance_for(spec, spec.tasks) < spec.tasks:
             return []
@@ -78,7 +79,7 @@
         return []
 
     def _start(self, job: JobView, machine: MachineView, count: int) -> None:
-        """Plan an assignment, and take its capacity and its part of the limit."""
+        """Plan an assignment, and deduct it from the machine's capacity and the team's limit."""
         spec = job.spec
         self.plan.assignments.append(Assignment(spec.id, machine.name, count))
         self.pool.take(machine, spec, count)
@@ -88,7 +89,7 @@
         job.pending -= count
 
     def _place(self, job: JobView) -> None:
-        """Start the job's pending tasks, or preempt others or claim capacity for them."""
+        """Place the job's pending tasks, or preempt other attempts or claim capacity for them."""
         self.quotas.release_reserved(job.spec)
         if job.spec.gang:
             self._place_whole(job)
@@ -101,13 +102,13 @@
             self.quotas.reserve(job.spec, job.pending)
 
     def _place_whole(self, job: JobView) -> None:
-        """A gang: all of its tasks, or none."""
+        """Place all tasks of a gang, or none and preempt other attempts for them."""
         spec = job.spec
         if job.has_old_attempts:
             return
         if self.quotas.allowance_for(spec, spec.tasks) < spec.tasks:
             if not self.preemption.preempt_own_team(job, spec.tasks) and job.is_starving:
-                # Else its team's smaller jobs would use each part of the limit as it is freed.
+                # Otherwise smaller jobs of the team would use each part of the limit once freed.
                 self.quotas.use(spec, spec.tasks)
             return
         if self.preemption.wait_for_image(job, spec.tasks):
@@ -117,7 +118,8 @@
             self.plan.unplaced.append((job, spec.tasks))
 
     def _place_independent(self, job: JobView) -> None:
-        """Tasks of an array, or replicas: as many as capacity and limit allow."""
+        """Place tasks of an array or replicas of a daemon, as many as capacity and team limit
+        allow, and preempt other attempts for the rest."""
         wanted = self.quotas.allowance_for(job.spec, job.pending)
         over_limit = job.pending - wanted
         if wanted and self.preemption.wait_for_image(job, wanted):
@@ -130,16 +132,16 @@
             self.preemption.preempt_own_team(job, over_limit)
 
     def _place_tasks(self, job: JobView, wanted: int) -> int:
-        """Independent tasks: as many as fit. Returns how many do not."""
+        """Place as many of the independent tasks as fit. Returns the number that do not fit."""
         wanted -= self._start_on_reservations(job, wanted)
         if wanted <= 0:
             return wanted
         spec = job.spec
         machines = self.pool.candidates(job)
-        limits = [spec.tasks] * len(machines)  # how many tasks may go to each
+        limits = [spec.tasks] * len(machines)  # maximum number of tasks for each machine
         if spec.daemon:
-            # First one replica to each machine that has none: the loss of a machine is to cost
-            # one replica only.
+            # First place one replica on each machine that has none, so that the loss of a machine
+            # costs as few replicas as possible.
             without_replica = [m for m in machines if m.name not in job.replica_machines]
             limits = [1] * len(without_replica) + limits
             machines = without_replica + machines
@@ -156,8 +158,8 @@
         return wanted
 
     def _place_gang(self, job: JobView) -> bool:
-        """Start all tasks, in the zone where the fewest must fetch the image; False if they do not
-        fit."""
+        """Place all tasks of the gang; if they must share a zone, in the one where the fewest have
+        to fetch the image. Returns False if they do not fit."""
         spec = job.spec
         machines = self.pool.candidates(job)
         options = []
@@ -174,7 +176,7 @@
         return True
 
     def _place_on_reservations(self, job: JobView) -> bool:
-        """Start a gang on the capacity that was reserved for it, if all of it still fits there."""
+        """Place a gang on the capacity reserved for it. Returns False unless all of it fits."""
         reserved = {
             self.pool.by_name[name]: count
             for name, count in job.reservations.items()
@@ -191,7 +193,7 @@
         return choice is not None
 
     def _start_on_reservations(self, job: JobView, wanted: int) -> int:
-        """Start independent tasks on the capacity that was reserved for them. Returns how many."""
+        """Place independent tasks on the capacity reserved for them. Returns the number placed."""
         started = 0
         for name, reserved in job.reservations.items():
             machine = self.pool.by_name.get(name)
@@ -207,8 +209,8 @@
         return started
 
     def _place_moves(self, job: JobView) -> None:
-        """Find capacity for replicas on machines that are being drained. Each runs on until it is
-        reserved."""
+        """Find capacity elsewhere for replicas on draining machines. Each replica keeps running
+        until capacity for it is reserved."""
         spec = job.spec
         machines = self.pool.candidates(job)
         machines.sort(key=lambda machine: machine.name in job.replica_machines)
@@ -233,7 +235,7 @@
 
 
 def zone_allowance(job: JobView, zone: str) -> int:
-    """How many more of the job's tasks its own rules allow in that zone."""
+    """How many more tasks of the job its `one_zone` and `spread` rules allow in the zone."""
     spec = job.spec
     if not (spec.one_zone or spec.spread):
         return spec.tasks
@@ -251,7 +253,7 @@
     teams: dict[str, Team],
     usage: dict[str, list[float]],
 ) -> Plan:
-    """A whole round at once."""
+    """Plan a whole round without yielding."""
     current = Round(machines, teams, usage)
     for _ in current.run(jobs):
         pass
--- a/peathall/placement/pool.py
+++ b/peathall/placement/pool.py
@@ -1,4 +1,4 @@
-"""The machines of one round: which of them fit a job, and what is left free for gangs. Pure."""
+"""The machines of one round: which of them fit a job, and the capacity to leave free for gangs."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 
 class MachineGroup:
-    """Machines of one type and zone, all spot or none: a job may use all of them or none."""
+    """Machines of one type and zone, either all spot or none: a job allows all of them or none."""
 
     __slots__ = ("machines", "spot", "type", "with_capacity", "zone")
 
     def __init__(self, sample: MachineView) -> None:
         self.type, self.zone, self.spot = sample.type, sample.zone, sample.spot
         self.machines: list[MachineView] = []
-        self.with_capacity: list[MachineView] = []  # for the least that any pending task needs
+        self.with_capacity: list[MachineView] = []  # that may fit some pending task
 
 
 class MachinePool:
-    """Machines by group, and what is left of their capacity as the round goes on."""
+    """The machines by group, with the capacity that is still free at this point of the round."""
 
     def __init__(
         self, machines: list[MachineView], prefer_spot: bool, gang_shapes: Sequence[JobSpec]
     ) -> None:
         self.machines = machines
         self.by_name = {machine.name: machine for machine in machines}
-        self.prefer_spot = prefer_spot  # some job may not use spot machines: it needs the others
-        # The largest recent gang of each class: capacity for the next like it is left free.
+        self.prefer_spot = prefer_spot  # keep other machines for jobs that must not use spot
+        # The largest recent gang of each class: capacity for a next gang like it is left free.
         self.gang_shapes = gang_shapes
-        # For each of these, how many machines fit one more of its tasks.
+        # For each of these gangs, the number of machines that fit at least one more of its tasks.
         self._fitting_machines: list[int] = []
         self.groups: dict[tuple[str, str, bool], MachineGroup] = {}
         for machine in machines:
@@ -42,20 +42,20 @@
                 self.groups[key] = MachineGroup(machine)
             self.groups[key].machines.append(machine)
         self.zone_names = list(dict.fromkeys(m.zone for m in machines))
-        self._least_need = (0.0, 0.0, 0.0)  # of each kind, over all pending tasks
+        self._least_need = (0.0, 0.0, 0.0)  # minimum CPUs, GPUs and GB of any pending task
 
     def totals(self) -> tuple[float, float]:
         """CPUs and GPUs of all machines."""
         return (sum(m.cpus for m in self.machines), sum(m.gpus for m in self.machines))
 
     def prepare(self, pending: list[JobView]) -> None:
-        """Called before any job is placed, with all of those that will be."""
+        """Prepare for placing the jobs `pending`. Must be called before any of them is placed."""
         if any(not job.spec.gang and not job.urgent for job in pending):
             self._fitting_machines = self._count_fitting_machines()
         else:
-            self.gang_shapes = ()  # no job of this round has to leave capacity for gangs
+            self.gang_shapes = ()  # no job of this round must leave capacity for gangs
         specs = [job.spec for job in pending]
-        # A machine without capacity for the least that any job needs is not considered again.
+        # A machine with less of any resource than all pending tasks need is not considered again.
         self._least_need = (
             min(s.cpus for s in specs) - EPS,
             min(s.gpus for s in specs) - EPS,
@@ -81,7 +81,7 @@
         ]
 
     def take(self, machine: MachineView, spec: JobSpec, count: int) -> None:
-        """Allocate capacity on the machine for tasks of the job."""
+        """Allocate capacity for `count` tasks on the machine; a negative count frees it."""
         before = [machine.fits(shape) > 0 for shape in self.gang_shapes]
         machine.take(spec, count)
         for i, shape in enumerate(self.gang_shapes):
@@ -90,7 +90,8 @@
 
     @staticmethod
     def may_start_on(machine: MachineView, spec: JobSpec) -> bool:
-        """On a machine that is held for a gang, only what should end before the gang can start."""
+        """Whether the job may start on the machine. A machine that is held for a gang accepts only
+        independent tasks that are expected to end before the gang can start."""
         return machine.gang_wait_s is None or (
             not spec.gang and spec.expected_s < machine.gang_wait_s
         )
@@ -99,7 +100,7 @@
         return [group for group in self.groups.values() if allowed(group, spec)]
 
     def usable(self, job: JobView, zone: str | None = None) -> list[MachineView]:
-        """The machines that the job may use, in one zone or in all, whether free or not."""
+        """The machines that the job allows, in `zone` or in all zones, whether free or not."""
         return [
             m
             for group in self._allowed_groups(job.spec)
@@ -130,11 +131,11 @@
         return found
 
     def limit_for_gangs(self, machine: MachineView, spec: JobSpec, count: int) -> int:
-        """At most `count` tasks, so many that the next gang of each class still finds capacity on
-        some machines: for all of its tasks if it could not preempt these, else for one."""
+        """Reduce `count` so that a next gang of each class still finds capacity: machines for all
+        of its tasks if it could not preempt tasks of this job, else one machine."""
         for i, shape in enumerate(self.gang_shapes):
             machines_needed = shape.tasks if shape.priority >= spec.priority else 1
-            # As long as more machines than that fit such a task, any one may be filled.
+            # While more machines than needed fit a task of the gang, any one of them may be filled.
             if (
                 self._fitting_machines[i] > machines_needed
                 or not allowed(machine, shape)
@@ -149,5 +150,6 @@
         return count
 
     def zones(self, spec: JobSpec) -> list[str | None]:
-        """The zones to try one by one for a job that must stay in one; else None for all."""
+        """All zones, to be tried one by one, if the job must stay in one zone; else only None,
+        which stands for all zones at once."""
         return list(self.zone_names) if spec.one_zone else [None]
--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption in one round: what a job may preempt, and what is held for it meanwhile. Pure."""
+"""Preemption in one round: the attempts that a job preempts, and the capacity held for it."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class FutureCapacity(Struct, frozen=True):
-    """Capacity for some tasks on a machine, once work there has ended by itself."""
+    """Capacity for `count` tasks on a machine, once attempts there have ended by themselves."""
 
     wait_s: float
     machine: MachineView
@@ -26,7 +26,7 @@
 
 
 class Preemption:
-    """Preempts work of lower priority for jobs that lack capacity on machines or under a limit."""
+    """Preempts attempts for jobs that lack capacity on machines or under their team's limit."""
 
     def __init__(
         self,
@@ -39,18 +39,18 @@
         self.pool = pool
         self.quotas = quotas
         self.plan = plan
-        self.lowest_priority = lowest_priority  # of all that runs; the highest number
+        self.lowest_priority = lowest_priority  # of all running attempts; the highest number
         self.stops = PlannedStops(pool, plan)
         self.quota_victims = QuotaVictims(pool, quotas, self.stops, team_work)
 
     def may_preempt(self, victim: Victim, job: JobView) -> bool:
-        """Whether the rules let the job preempt it."""
+        """Whether the rules allow the job to preempt the victim."""
         if victim.key in self.stops.keys:
             return False
         if victim.priority > job.spec.priority or (victim.borrowed and job.within_quota):
             return True
-        # A guarantee may reach above its own priority, but that job would be placed
-        # first again in the next round and the two would preempt one another without end.
+        # A job within quota does not preempt work of higher priority outside quota: that job would
+        # be placed first in the next round, and the two would preempt each other forever.
         return (
             job.within_quota
             and not victim.within_quota
@@ -59,8 +59,8 @@
         )
 
     def wait_for_image(self, job: JobView, wanted: int) -> bool:
-        """Preempt on machines that have the image cached, if that is sooner than a fetch
-        elsewhere. Returns whether the job is to wait for them."""
+        """Preempt attempts on machines that have the image cached, if the image takes long to fetch
+        elsewhere. Returns whether the job waits for these machines."""
         spec = job.spec
         if job.fetch_s < constants.FETCH_WORTH_S or not job.urgent:
             return False
@@ -71,11 +71,11 @@
         return self.preempt(job, wanted, cached)
 
     def preempt_own_team(self, job: JobView, wanted: int) -> bool:
-        """The team's limit is used up: preempt work of lower priority of the same team.
+        """Preempt work of the same team with lower priority, when the team's limit is used up.
 
-        What is preempted counts against the limit until it is proven gone, so the job starts in a
-        later round; until then the limit is reserved for it. Nothing is preempted unless machines
-        have capacity for the job. Returns whether the limit will soon allow its tasks.
+        Preempted attempts count against the limit until they are proven gone, so the job starts in
+        a later round; until then its part of the limit is reserved. Nothing is preempted unless
+        machines have capacity for the job. Returns whether the limit will soon allow its tasks.
         """
         spec = job.spec
         if not job.may_preempt or not (job.urgent or job.within_quota):
@@ -85,7 +85,7 @@
             return False
         capacity = self._find_capacity(job, count)
         if sum(found.count for found in capacity or ()) < (count if spec.gang else 1):
-            # Machines are provisioned first: preemption alone would not let it start.
+            # Preemption alone would not let the job start: machines must be provisioned first.
             self.plan.unplaced.append((job, count))
             return False
         for victim in victims:
@@ -95,15 +95,15 @@
         return True
 
     def preempt(self, job: JobView, wanted: int, only: list[MachineView] | None = None) -> bool:
-        """Claim capacity that is free or being freed, and preempt others where the rules allow it;
-        on the machines `only`, if given. Returns whether all tasks will fit.
+        """Claim capacity that is free or being freed, and preempt other attempts where the rules
+        allow it; only on the machines `only`, if given. Returns whether all tasks will fit.
 
-        Claimed capacity is taken out of this round, so that later jobs do not use it up in small
-        parts while a larger one waits for it.
+        Claimed capacity is withdrawn from this round, so that later jobs do not use it up in small
+        parts while a larger job waits for it.
         """
         spec = job.spec
         if not spec.gang and not job.within_quota and spec.priority >= self.lowest_priority:
-            # Nothing may be preempted, and independent tasks need no capacity all at once.
+            # Nothing can be preempted, and independent tasks need not hold capacity for each other.
             return False
         if not job.urgent and not job.within_quota:
             return False
@@ -119,7 +119,8 @@
     def _find_capacity(
         self, job: JobView, wanted: int, only: list[MachineView] | None = None
     ) -> list[MachineCapacity] | None:
-        """Where the tasks would fit, at the least cost to those that would be preempted."""
+        """The machines on which the tasks would fit with the least lost work of preempted attempts;
+        None if there are none, or if not all tasks of a gang fit."""
         spec = job.spec
         best: list[MachineCapacity] | None = None
         best_cost = 0.0
@@ -143,8 +144,8 @@
     def _options(
         self, job: JobView, wanted: int, zone: str | None, machines: list[MachineView]
     ) -> list[MachineCapacity]:
-        """The machines of the zone, or of all, on which a task would fit: first those with the
-        least that is scarce, then those with the least cost of preemption for each task."""
+        """The machines, in `zone` or in all zones, on which a task would fit: those with scarce
+        properties last, then by the cost of preemption per task."""
         options = []
         for machine in machines:
             if zone is not None and machine.zone != zone:
@@ -166,7 +167,7 @@
         return options
 
     def _hold_machines(self, job: JobView) -> None:
-        """Nothing may be preempted: hold the machines that are free soonest for the gang."""
+        """Hold the machines that become free soonest for a gang that preemption does not help."""
         spec = job.spec
         best: list[FutureCapacity] | None = None
         for zone in self.pool.zones(spec):
@@ -190,7 +191,7 @@
 
     @staticmethod
     def _claim(machine: MachineView, spec: JobSpec, count: int) -> None:
-        """Take capacity out of the round, first what is being freed."""
+        """Withdraw capacity for `count` tasks from the round, first what is being freed."""
         being_freed = machine.detail().being_freed
         for i, need in enumerate((spec.cpus * count, spec.gpus * count, spec.ram * count)):
             from_freed = min(being_freed[i], need)
--- a/peathall/placement/quota_preemption.py
+++ b/peathall/placement/quota_preemption.py
@@ -1,4 +1,4 @@
-"""Choosing a team's own work of lower priority to preempt when its limit is used up. Pure."""
+"""Choosing work that a team preempts for its own work of higher priority, at the team's limit."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from peathall.placement.views import TeamWork, Victim
 from peathall.protocol.jobs import JobSpec
 
-# (team, priority) -> what of the team has a lower priority.
+# (team, priority) -> the team's work of lower priority.
 TeamWorkLookup = Callable[[str, int], TeamWork]
 
 
 class QuotaVictims:
-    """Finds what to preempt so that tasks fit under their team's limit."""
+    """Chooses attempts to preempt so that tasks fit under their team's limit."""
 
     def __init__(
         self,
@@ -32,9 +32,9 @@
         self._team_work = team_work
 
     def choose(self, spec: JobSpec, wanted: int) -> tuple[int, list[Victim]]:
-        """How many of the tasks fit under the limit once the victims are gone, and the victims:
-        those of the lowest priority, and no more than are needed. A gang fits whole or not at
-        all."""
+        """Choose victims, of the lowest priority first and no more than necessary. Returns the
+        number of tasks that fit under the limit once the victims are gone, and the victims. A gang
+        fits as a whole or not at all."""
         work = self._team_work(spec.team, spec.priority)
         being_freed = self._stops.freed_by(spec.team)
         freed = [a + b for a, b in zip(work.being_freed, being_freed, strict=True)]
@@ -56,7 +56,7 @@
             count = self._fits_after(spec, wanted, freed)
         if spec.gang and count < wanted:
             return 0, []
-        for unit in chosen[::-1]:  # leave out what proves unnecessary, the most costly first
+        for unit in chosen[::-1]:  # drop unnecessary victims, the most costly first
             without = [freed[0] - sum(v.cpus for v in unit), freed[1] - sum(v.gpus for v in unit)]
             if self._fits_after(spec, wanted, without) >= count:
                 freed = without
@@ -64,7 +64,7 @@
         return count, [victim for unit in chosen for victim in unit]
 
     def _fits_after(self, spec: JobSpec, wanted: int, freed: Sequence[float]) -> int:
-        """How many of the tasks fit under the limit once so many CPUs and GPUs are freed."""
+        """How many of the tasks fit under the limit once `freed` (CPUs and GPUs) is free."""
         cpus, gpus = self._quotas.lacking(spec, wanted)
         missing = 0
         for lacking, back, need in ((cpus, freed[0], spec.cpus), (gpus, freed[1], spec.gpus)):
--- a/peathall/placement/quotas.py
+++ b/peathall/placement/quotas.py
@@ -1,4 +1,4 @@
-"""Team quotas: use against the limits in a round of placement, and jobs within the guarantees."""
+"""Team quotas: usage against the teams' limits in a round, and the jobs within their guarantees."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def jobs_within_quota(active: Iterable[Job], teams: Mapping[str, Team]) -> set[str]:
-    """Ids of the jobs that fit into what their team is guaranteed, together with the team's
-    unfinished jobs that were submitted earlier."""
+    """Ids of the jobs that fit into their team's guarantee together with the team's unfinished jobs
+    that were submitted earlier."""
     totals: dict[str, list[float]] = {}
     within_quota = set()
-    # What may never succeed uses up its team's quota for no other job.
+    # A failing job may never succeed, so it takes up no part of its team's guarantee.
     counted = [job for job in active if job.health is not JobHealth.FAILING and not job.borrowed]
     for job in sorted(counted, key=lambda job: job.spec.submitted):
         team = teams.get(job.spec.team)
@@ -36,10 +36,10 @@
 
 
 class TeamQuotas:
-    """Use of CPUs and GPUs by team, as it is and as the round's own starts change it.
+    """CPUs and GPUs that each team uses, including tasks that the round has already placed.
 
-    Part of a limit can be reserved for a job that is yet to be placed in this round, or that waits
-    until preempted tasks are gone, so that no other job of its team uses it.
+    Part of a team's limit can be reserved for a job that is still to be placed in this round, or
+    that waits until preempted tasks are gone, so that no other job of the team uses it.
     """
 
     def __init__(self, teams: Mapping[str, Team], usage: Mapping[str, Sequence[float]]) -> None:
@@ -48,7 +48,7 @@
         self._reserved: dict[str, int] = {}  # job -> tasks
 
     def allowance_for(self, spec: JobSpec, wanted: int) -> int:
-        """How many of `wanted` tasks the team's limit still allows."""
+        """How many of the `wanted` tasks the team's limit still allows."""
         if spec.team not in self._teams:
             return 0
         for _, need, left in self._headroom(spec):
@@ -63,26 +63,26 @@
         return lacking[0], lacking[1]
 
     def _headroom(self, spec: JobSpec) -> list[tuple[int, float, float]]:
-        """Of each kind that is limited and that the job uses: its index, a task's need, and
-        what is left."""
+        """For each limited resource that the job uses: its index (0: CPUs, 1: GPUs), the need of
+        one task, and the amount left under the limit."""
         team = self._teams[spec.team]
         use = self._usage.get(spec.team, (0.0, 0.0))
         limits = ((0, spec.cpus, team.cpus_max), (1, spec.gpus, team.gpus_max))
         return [(kind, need, most - use[kind]) for kind, need, most in limits if most and need > 0]
 
     def use(self, spec: JobSpec, count: int) -> None:
-        """Count tasks of the job as started; a negative count takes them back."""
+        """Count `count` tasks of the job as started; a negative count reverts that."""
         use = self._usage.setdefault(spec.team, [0.0, 0.0])
         use[0] += spec.cpus * count
         use[1] += spec.gpus * count
 
     def reserve(self, spec: JobSpec, count: int) -> None:
-        """Reserve as much of the limit for the job's next tasks as `count` of them need."""
+        """Reserve the part of the limit that up to `count` next tasks of the job need."""
         count = self.allowance_for(spec, count)
         if count:
             self._reserved[spec.id] = self._reserved.get(spec.id, 0) + count
             self.use(spec, count)
 
     def release_reserved(self, spec: JobSpec) -> None:
-        """The job is being placed: what was reserved for it counts as free again."""
+        """Release the part of the limit reserved for the job, which is about to be placed."""
         self.use(spec, -self._reserved.pop(spec.id, 0))
--- a/peathall/placement/reservations.py
+++ b/peathall/placement/reservations.py
@@ -1,5 +1,5 @@
-"""Reservations: capacity kept for replicas that are being moved, until they start anew, and for
-other cells' jobs, from our consent until they start."""
+"""Reservations of capacity: for replicas that are being moved, until they start again, and for jobs
+of other cells, from the acceptance of the offer until they start."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class Reservation(Struct, frozen=True):
-    """Capacity for one task on a machine: for a replica whose old attempt may still exist, or for
-    a task of another cell's job that has not been handed off to us yet."""
+    """Capacity for one task on a machine: for a replica whose old attempt may still exist, or for a
+    task of another cell's job that has not been handed off to this cell yet."""
 
     spec: JobSpec
     task: int
     machine: str
-    until: float  # steady time at which it expires
+    until: float  # monotonic time at which the reservation expires
     for_other_cell: bool = False
 
 
 class Reservations:
-    """All reservations of a leader. They are not stored: after a failover the replica is placed
-    anew."""
+    """All reservations of a leader. They are not stored: after a failover a replica is placed
+    again without one."""
 
     def __init__(self) -> None:
         self._reservations: list[Reservation] = []
@@ -36,7 +36,7 @@
         return iter(self._reservations)
 
     def add(self, reservation: Reservation) -> None:
-        """Keep the capacity from now on."""
+        """Add a reservation; its capacity is kept from now on."""
         self._reservations.append(reservation)
 
     def release(self, job_id: str) -> None:
@@ -46,14 +46,14 @@
     def prune(
         self, cluster: ClusterState, is_schedulable: Callable[[Machine, float], bool], now: float
     ) -> None:
-        """Remove those that are used, expired or of no use any more at this steady time."""
+        """Remove reservations that are used, expired or useless at monotonic time `now`."""
         if self._reservations:
             self._reservations = [
                 r for r in self._reservations if _is_needed(r, cluster, is_schedulable, now)
             ]
 
     def for_other_cells(self) -> list[tuple[JobSpec, int]]:
-        """Of each job of another cell, for how many tasks capacity is reserved."""
+        """Jobs of other cells, each with the number of tasks for which capacity is reserved."""
         counts: Counter[str] = Counter()
         specs: dict[str, JobSpec] = {}
         for reservation in self._reservations:
@@ -63,7 +63,7 @@
         return [(specs[job_id], count) for job_id, count in counts.items()]
 
     def ready(self, job: Job) -> Counter[str]:
-        """Machine -> reservations for tasks of the job whose old attempts are gone."""
+        """Machine -> number of reservations for tasks of the job whose old attempts are gone."""
         return Counter(
             reservation.machine
             for reservation in self._reservations
@@ -92,7 +92,7 @@
     if machine is None or now >= reservation.until or not is_schedulable(machine, now):
         return False
     if job is None:
-        return reservation.for_other_cell  # the job has not been handed off to us yet
+        return reservation.for_other_cell  # the job has not been handed off yet
     attempt = job.attempts.get(reservation.task)
     has_started = attempt is not None and not attempt.is_leaving
     return job.phase is JobPhase.ACTIVE and not has_started
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -1,9 +1,9 @@
-"""Records of rounds: the intent that is stored before any start command is sent.
+"""Records of rounds: the intent to start tasks, stored before any start command is sent.
 
     round/TERM-N   {"a": [[job, attempt number, machine, task ranges], ...]}
 
-A record stays until none of its attempts can exist any more. One that outlives most of what it
-names is compacted to the rest, so that what is stored is bounded by what runs.
+A record stays until none of its attempts can exist any more. A record that names many more attempts
+than still exist is compacted, so that the stored data is bounded by the number of live attempts.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class RoundEntry(Struct, array_like=True, frozen=True):
-    """Some tasks of a job that one machine is to start; stored as a list, by position."""
+    """Tasks of a job to be started by one machine; stored as a list of the fields in this order."""
 
     job: str
     attempt: int
@@ -42,7 +42,7 @@
 
 
 def to_record(entries: Iterable[RoundEntry]) -> dict[str, Any]:
-    """The value under which the entries are stored."""
+    """The stored value for the entries."""
     return {"a": msgspec.to_builtins(list(entries))}
 
 
@@ -52,14 +52,14 @@
 
 
 def split_entries(entries: list[RoundEntry], limit: int) -> list[list[RoundEntry]]:
-    """Split a round's entries into parts of at most `limit` bytes, between two jobs where one job's
-    entries fit into a part: the intent of a gang is then stored atomically."""
+    """Split a round's entries into parts of at most `limit` bytes. The entries of one job stay in
+    one part if they fit, so that the intent of a gang is stored atomically."""
     parts: list[list[RoundEntry]] = [[]]
     size = json_size(to_record([]))
     empty = size
     for _, group in groupby(entries, key=lambda entry: entry.job):
         job_entries = list(group)
-        # Each with the comma that separates it from the next.
+        # Each size includes the comma that separates the entry from the next one.
         sizes = [json_size(msgspec.to_builtins(entry)) + 1 for entry in job_entries]
         whole = sum(sizes)
         if parts[-1] and size + whole > limit and empty + whole <= limit:
@@ -75,21 +75,21 @@
 
 
 class RecordPart(Struct):
-    """One record of a round, which may take several."""
+    """One of the records in which a round is stored."""
 
     key: str
-    attempts: list[Attempt]  # that it names
-    stored: asyncio.Future[int]  # done once it is; else a `StoreError`
+    attempts: list[Attempt]  # named by the record
+    stored: asyncio.Future[int]  # completes once the record is stored; fails with a `StoreError`
 
     def shares_gang_with(self, later: RecordPart) -> bool:
-        """Whether a gang that one value can't hold continues in the later part."""
+        """Whether a gang too large for one record continues in the later part."""
         last = self.attempts[-1].job
         return last.spec.gang and later.attempts[0].job is last
 
 
 def joined_by_gangs(parts: list[RecordPart]) -> Iterator[list[RecordPart]]:
-    """The parts in order, with those together that share a gang: it starts once all of them are
-    stored."""
+    """Group the parts, in order, so that parts that share a gang are together: the gang starts only
+    once all of them are stored."""
     joined: list[RecordPart] = []
     for part in parts:
         if joined and not joined[-1].shares_gang_with(part):
@@ -101,10 +101,10 @@
 
 
 class RecordSize(Struct):
-    """How many attempts a stored record names."""
+    """The number of attempts that a stored record names."""
 
     attempts: int
-    since: float  # steady time at which it was written or read
+    since: float  # monotonic time at which the record was written or read
 
 
 class RoundRecords:
@@ -115,12 +115,12 @@
     ) -> None:
         self.cluster = cluster
         self.writer = writer
-        self.compaction = compaction or writer  # compacts and deletes records
+        self.compaction = compaction or writer  # writer for compaction and deletion
         self._number = 0
         self._sizes: dict[str, RecordSize] = {}
 
     def load(self, items: list[KeyValue], now: float) -> None:
-        """After a failover: allocate all attempts that may still exist."""
+        """Allocate all attempts that may still exist, from the records found after a failover."""
         for item in items:
             self.writer.versions[item.key] = item.version
             entries = from_record(item.value)
@@ -133,17 +133,17 @@
                 self.delete(item.key)
 
     def _adopt(self, entry: RoundEntry, key: str, now: float) -> None:
-        """Allocate the attempts of a record that was read."""
+        """Allocate the attempts of an entry that was read from a record."""
         job = self.cluster.jobs.get(entry.job)
         if job is None:
-            return  # archived, which is done only after all its attempts were gone
+            return  # the job is archived, which happens only after all its attempts are gone
         machine = self.cluster.machine(entry.machine, "", "", False, MachinePhase.RECOVERED, now)
         for task in Ranges(entry.tasks):
             if task in job.done:
-                continue  # it has exited, and is never started again
+                continue  # a done task is never started again
             if task in job.attempts:
-                # The record of an earlier attempt still names it; the later attempt was made only
-                # after the earlier one was proven gone.
+                # Records of two attempts name the task. The later attempt was made only after the
+                # earlier one was proven gone.
                 if job.attempts[task].number >= entry.attempt:
                     continue
                 self.cluster.release(job.attempts[task], now)
@@ -182,13 +182,13 @@
         ]
 
     def delete(self, key: str) -> None:
-        """Delete the record: none of its attempts can exist any more."""
+        """Delete a record, none of whose attempts can exist any more."""
         self._sizes.pop(key, None)
         if key in self.writer.versions:
             self.compaction.defer_delete(key)
 
     def compact(self, now: float) -> None:
-        """Defer compacting records that have long named many more attempts than may exist."""
+        """Queue deferred compaction of old records that name many more attempts than may exist."""
         for key, attempts in self.cluster.rounds.items():
             size = self._sizes.get(key)
             if (
@@ -199,11 +199,12 @@
                 self.compaction.defer(f"compact {key}", partial(self.compaction_of, key, now))
 
     def compaction_of(self, key: str, now: float) -> Mutation | None:
-        """The write that compacts the record as it is then; None if there is no need any more."""
+        """The mutation that reduces the record to the attempts that exist now; None if none do or
+        the record is deleted."""
         attempts = list(self.cluster.rounds.get(key, ()))
         if not attempts or key not in self.writer.versions:
             return None
-        # Conditional on the record as it is now: once deleted, it must not be created anew.
+        # Conditional on the current version: a record deleted meanwhile must not be created again.
         unchanged = {key: self.writer.versions[key]}
         mutation = Mutation(unchanged, [Put(key, to_record(live_entries(attempts)))])
 
@@ -215,7 +216,7 @@
 
 
 def live_entries(attempts: list[Attempt]) -> list[RoundEntry]:
-    """Entries that name just these attempts."""
+    """Entries that name exactly these attempts."""
     tasks: dict[tuple[str, int, str], Ranges] = {}
     for attempt in attempts:
         entry_key = (attempt.job.spec.id, attempt.number, attempt.machine)
--- a/peathall/placement/snapshot.py
+++ b/peathall/placement/snapshot.py
@@ -1,4 +1,4 @@
-"""The state of jobs, machines and attempts as it is when a round begins."""
+"""The state of jobs, machines and attempts at the start of a round."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Snapshot:
-    """Input of a round: views of jobs and machines, and the attempts that may be preempted."""
+    """The input of a round: views of jobs and machines, and the attempts that may be preempted."""
 
     def __init__(
         self, cluster: ClusterState, params: Params, workers: Workers, reservations: Reservations
@@ -28,6 +28,6 @@
         )
 
     def begin(self, wall: float, now: float) -> None:
-        """Begin a round at this time of day and steady time."""
+        """Start a round at wall-clock time `wall` and monotonic time `now`."""
         self.context.wall, self.context.now = wall, now
         self.context.within_quota = jobs_within_quota(self.jobs.active(), self.teams)
--- a/peathall/placement/starter.py
+++ b/peathall/placement/starter.py
@@ -1,4 +1,4 @@
-"""Carrying out the assignments of a plan: the intent is stored before any start command is sent."""
+"""Starting the tasks of a plan: the intent is stored before any start command is sent."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Starter:
-    """Allocates the capacity of assignments, stores their records, and then has them sent."""
+    """Allocates capacity for assignments, stores their records, then has start commands sent."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self.loop = asyncio.get_running_loop()
 
     async def start(self, assignments: list[Assignment], now: float) -> None:
-        """Start those that are still valid; returns once each is stored or given up."""
+        """Start the assignments that are still valid. Returns once each is stored or abandoned."""
         assignments = self._still_valid(assignments, now)
         self._log(assignments)
         self._note_late(assignments, now)
@@ -46,8 +46,9 @@
             await self._start_together(parts)
 
     def _still_valid(self, assignments: list[Assignment], now: float) -> list[Assignment]:
-        """Without those of jobs that ended while the round was decided, or of which a machine must
-        not be used any more. Capacity and limits can't have changed: only rounds use them up."""
+        """The assignments without those of jobs that ended while the round was planned, or that use
+        a machine that no longer accepts tasks. Capacity and limits are not checked again: only
+        rounds use them up."""
         invalid = set()
         wanted: dict[str, int] = {}
         for assignment in assignments:
@@ -67,13 +68,14 @@
         return [assignment for assignment in assignments if assignment.job not in invalid]
 
     def _log(self, assignments: list[Assignment]) -> None:
-        """One line for each job, however many machines it goes to."""
+        """Log one line per job, and a debug line per machine."""
         wall = self.wall()
         for job_id, group in groupby(assignments, key=lambda assignment: assignment.job):
             spec = self.cluster.jobs[job_id].spec
             chosen = [(self.cluster.machines[a.machine], a.count) for a in group]
             log.info(
-                "%s %s: %d tasks to %d machines (%s; %d to fetch) after %.1f s",
+                "%s job %s: starting %d tasks on %d machines (types %s; %d must fetch the image) "
+                "%.1f s after submission",
                 spec.class_name,
                 job_id,
                 sum(count for _, count in chosen),
@@ -83,25 +85,26 @@
                 wall - spec.submitted,
             )
             for machine, count in chosen:
-                log.debug("%s: %d tasks to %s", job_id, count, machine.name)
+                log.debug("job %s: starting %d tasks on %s", job_id, count, machine.name)
 
     def _note_late(self, assignments: list[Assignment], now: float) -> None:
-        """Mark the jobs that were starving: their starts are protected from preemption."""
+        """Mark the starving jobs that start now, which protects their starts from preemption."""
         for job_id in dict.fromkeys(assignment.job for assignment in assignments):
             job = self.cluster.jobs[job_id]
             if job.health is not JobHealth.FAILING and not job.attempts:
                 job.started_late |= is_starving(job, now)
 
     async def _start_together(self, parts: list[RecordPart]) -> None:
-        """Records that share a gang: it starts once all of them are stored, or not at all."""
+        """Start the attempts of records that share a gang, once all of the records are stored. If a
+        record is not stored, the gang does not start."""
         failed: list[RecordPart] = []
         for part in parts:
             try:
                 await part.stored
             except StoreError as exc:
-                log.error("the intent %s is not stored: %s", part.key, exc)
+                log.error("round record %s not stored, tasks not started: %s", part.key, exc)
                 failed.append(part)
-        # Of these nothing was written, and nothing started.
+        # No record of these attempts was written, and no start command was sent.
         abandoned = [attempt for part in failed for attempt in part.attempts]
         broken_gangs = {attempt.job for attempt in abandoned if attempt.job.spec.gang}
         stored = [part for part in parts if part not in failed]
@@ -112,10 +115,10 @@
             self._send(part)
 
     def _send(self, part: RecordPart) -> None:
-        """Its record is stored: let the start commands of its attempts be sent."""
+        """Allow the start commands of a stored record, and have them pushed to the machines."""
         now = self.loop.time()
         within_quota = self.snapshot.context.within_quota
-        to_push: dict[str, bool] = {}  # machine -> whether all that it starts is deferrable
+        to_push: dict[str, bool] = {}  # machine -> whether all its new starts are deferrable
         for attempt in part.attempts:
             if attempt.phase is not AttemptPhase.PLANNED:
                 continue
--- a/peathall/placement/victims.py
+++ b/peathall/placement/victims.py
@@ -1,4 +1,4 @@
-"""Attempts as victims: what could be preempted, and what that would lose."""
+"""Attempts that could be preempted, and the work that preempting them would lose."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
         self.context = context
 
     def on_machine(self, machine: Machine, now: float) -> Iterator[Victim]:
-        """What on the machine could be preempted at this steady time."""
+        """The attempts on the machine that could be preempted at monotonic time `now`."""
         for attempt in machine.attempts.values():
             victim = self._victim(attempt, machine, now)
             if victim is not None:
                 yield victim
 
     def team_work(self, team: str, priority: int) -> TeamWork:
-        """What of the team is being stopped, and what else a job of that priority may preempt."""
+        """The team's capacity being freed, and its work that a job of `priority` may preempt."""
         cpus = gpus = 0.0
         units: list[list[Victim]] = []
         for job in self.cluster.jobs.values():
@@ -41,7 +41,8 @@
         return TeamWork((cpus, gpus), units)
 
     def _units(self, job: Job) -> list[list[Victim]]:
-        """Each task of an array by itself; a gang as a whole, if all of it may be preempted."""
+        """The job's victims, in lists that are preempted as a whole: independent tasks one by one,
+        and a gang together, provided that all of it may be preempted."""
         victims = []
         for attempt in job.attempts.values():
             machine = self.cluster.machines[attempt.machine]
@@ -59,10 +60,10 @@
         spec = attempt.job.spec
         ran_s = now - attempt.since if attempt.running else 0.0
         if attempt.job.started_late and ran_s < constants.STABLE_START_S:
-            return None  # it has waited so long that its start is to count
+            return None  # the job waited so long that its start must last long enough to count
         lost_s = spec.save_s if spec.checkpoint_s else ran_s
         if ran_s < constants.STABLE_START_S:
-            lost_s += constants.STABLE_START_S  # its start would not count any more
+            lost_s += constants.STABLE_START_S  # its start would not count for the objectives
         share = max(spec.cpus / machine.cpus, spec.gpus / max(machine.gpus, 1.0))
         return Victim(
             spec,
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -1,7 +1,7 @@
 """The input of a round: views of machines, jobs and attempts.
 
-Amounts of capacity are CPUs, GPUs and GB of memory, in this order. Views are made anew for each
-machine and job of each round, hence the slots.
+Amounts of capacity are CPUs, GPUs and GB of memory, in this order. Each round builds a new view
+of every machine and job, so the classes use slots.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 class Victim:
     """An attempt that could be preempted.
 
-    One is made for each attempt that a round considers, so its parts are copied from the job's
-    specification once, and `key` is a plain tuple: a named one takes much longer to make.
+    A round builds one for each attempt that it considers. For speed, fields are copied from the
+    job's specification once, and `key` is a plain tuple: a named tuple takes much longer to build.
     """
 
     __slots__ = (
@@ -55,12 +55,12 @@
         self.machine = machine
         self.within_quota = within_quota  # its job is within its own team's quota
         self.lost_machine_s = lost_machine_s  # machine seconds that preempting it would lose
-        self.ends_in_s = ends_in_s  # until it should end by itself, by its owner's estimate
-        self.borrowed = borrowed  # its job is another cell's
+        self.ends_in_s = ends_in_s  # until it should end by itself, by the user's estimate
+        self.borrowed = borrowed  # its job belongs to another cell
 
 
 class MachineDetail:
-    """What only some decisions need to know of a machine."""
+    """Details of a machine that only some decisions need."""
 
     __slots__ = ("_by_expected_end", "_sorted", "_victims", "being_freed", "fetching")
 
@@ -70,20 +70,20 @@
         being_freed: tuple[float, float, float] = (0.0, 0.0, 0.0),
         victims: Iterable[Victim] = (),
     ) -> None:
-        self.fetching = set(fetching)  # images that are being fetched
+        self.fetching = set(fetching)  # images that the machine is fetching
         self.being_freed = list(being_freed)  # capacity of attempts that are being stopped
-        self._victims = victims  # consumed only if a decision depends on them
+        self._victims = victims  # iterated only if a decision depends on them
         self._sorted: list[Victim] | None = None
         self._by_expected_end: list[Victim] | None = None
 
     def free_soon(self, victim: Victim) -> None:
-        """The victim is to be preempted: its capacity counts as being freed."""
+        """Count the capacity of a victim that is to be preempted as being freed."""
         for kind, amount in enumerate((victim.cpus, victim.gpus, victim.ram)):
             self.being_freed[kind] += amount
 
     @property
     def victims(self) -> list[Victim]:
-        """In the order in which they would be preempted."""
+        """Victims in the order in which they would be preempted."""
         if self._sorted is None:
             self._sorted = sorted(
                 self._victims, key=lambda v: (-v.priority, v.lost_machine_s, v.key)
@@ -92,14 +92,14 @@
 
     @property
     def by_expected_end(self) -> list[Victim]:
-        """In the order in which they should end by themselves."""
+        """Victims in the order in which they should end by themselves."""
         if self._by_expected_end is None:
             self._by_expected_end = sorted(self.victims, key=lambda v: v.ends_in_s)
         return self._by_expected_end
 
 
 class MachineView:
-    """A machine in one round: its capacity, its images and what runs on it."""
+    """A machine in one round: its capacity, its images and its attempts."""
 
     __slots__ = (
         "_detail",
@@ -141,16 +141,16 @@
         self.spot = spot
         self.cpus, self.gpus, self.ram = size
         self.free = list(free)  # neither used nor reserved
-        self.images = images  # cached
-        self.missed_intervals = missed_intervals  # whole ones since the last heartbeat
+        self.images = images  # images in its cache
+        self.missed_intervals = missed_intervals  # whole intervals since the last heartbeat
         self.load_detail = load_detail
         self.task_slots = task_slots  # how many more tasks its heartbeats can hold
-        self.replicas = replicas  # of any daemons
+        self.replicas = replicas  # number of replicas of all daemons
         self._detail: MachineDetail | None = None
-        self.gang_wait_s: float | None = None  # until the gang can start that it is held for
+        self.gang_wait_s: float | None = None  # until the gang that it is held for can start
 
     def detail(self) -> MachineDetail:
-        """Loaded at most once a round, and only if a decision depends on it."""
+        """Details of the machine, loaded once per round if a decision needs them."""
         if self._detail is None:
             self._detail = self.load_detail()
         return self._detail
@@ -164,7 +164,7 @@
         return min(fits_in(self.free, spec), self.task_slots)
 
     def take(self, spec: JobSpec, count: int) -> None:
-        """Allocate capacity for so many tasks; a negative count frees it."""
+        """Allocate capacity for `count` tasks; a negative count frees it."""
         self.task_slots -= count
         self.replicas += spec.daemon * count
         self.free[0] -= spec.cpus * count
@@ -173,40 +173,40 @@
 
 
 class MovingReplica(Struct, frozen=True):
-    """A replica on a machine that is being drained."""
+    """A replica on a draining machine."""
 
     task: int
     zone: str
 
 
 class TeamWork(Struct, frozen=True):
-    """What of a team's work may be preempted for its own work of higher priority."""
+    """Work of a team that is being stopped, or may be preempted for its work of higher priority."""
 
-    being_freed: tuple[float, float] = (0.0, 0.0)  # CPUs and GPUs of what is being stopped already
+    being_freed: tuple[float, float] = (0.0, 0.0)  # CPUs and GPUs of attempts being stopped
     preemptible: Sequence[Sequence[Victim]] = ()  # each inner sequence is preempted as a whole
 
 
 class JobView(Struct, eq=False):
-    """A job in one round: how many tasks are pending, and what determines their order."""
+    """A job in one round: how many tasks to start, and what determines their placement."""
 
     spec: JobSpec
     pending: int
     within_quota: bool = False  # within its team's quota
-    latest_start: float = 0.0  # time of day; in the past if the objective is missed
+    latest_start: float = 0.0  # wall-clock time by which it must start to meet an objective
     running_zones: dict[str, int] = field(default_factory=dict)  # zone -> tasks there
-    has_old_attempts: bool = False  # a gang with attempts that are not gone yet
-    urgent: bool = True  # misses an objective unless it starts soon: may preempt others
-    is_starving: bool = False  # has waited so long that it goes before all others
+    has_old_attempts: bool = False  # a gang some of whose earlier attempts are not gone yet
+    urgent: bool = True  # may preempt others: would soon miss an objective
+    is_starving: bool = False  # has waited so long that it goes before all other jobs
     is_canary: bool = False  # of a failing job: nothing is preempted for it
-    borrowed: bool = False  # another cell's: nothing is preempted or provisioned for it
+    borrowed: bool = False  # of another cell: nothing is preempted or provisioned for it
     fetch_s: float = 0.0  # estimated time to fetch the image
-    avoid: Container[str] = ()  # machines on which it failed
-    replica_machines: Collection[str] = ()  # machines that run replicas of it already
-    moving: Sequence[MovingReplica] = ()  # replicas on machines that are being drained
+    avoid: Container[str] = ()  # machines on which the job failed
+    replica_machines: Collection[str] = ()  # machines that already run its replicas
+    moving: Sequence[MovingReplica] = ()  # replicas on draining machines
     # Machine -> pending tasks for which capacity is reserved there.
     reservations: Mapping[str, int] = field(default_factory=dict)
 
     @property
     def may_preempt(self) -> bool:
-        """Whether others are preempted and machines provisioned for it."""
+        """Whether attempts may be preempted and machines provisioned for the job."""
         return not (self.is_canary or self.borrowed)
