--- a/peathall/placement/bin_packing.py
+++ b/peathall/placement/bin_packing.py
@@ -22,7 +22,7 @@
     return max(0, count)
 
 
-class MachineKind(Protocol):
+class MachineAttributes(Protocol):
     """The attributes of machines that a job can restrict: type, zone, and use of spot machines."""
 
     @property
@@ -38,7 +38,7 @@
         """Whether the cloud provider may reclaim the machine at any time."""
 
 
-def allowed(machine: MachineKind, spec: JobSpec) -> bool:
+def allowed(machine: MachineAttributes, spec: JobSpec) -> bool:
     """Whether the job's restrictions on type, zone and spot admit the machine."""
     return (
         (spec.types is None or machine.type in spec.types)
--- a/peathall/placement/capacity.py
+++ b/peathall/placement/capacity.py
@@ -25,7 +25,7 @@
 
 
 def capacity_with_victims(
-    machine: MachineView, spec: JobSpec, wanted: int, may_stop: Callable[[Victim], bool]
+    machine: MachineView, spec: JobSpec, wanted: int, may_preempt: Callable[[Victim], bool]
 ) -> MachineCapacity:
     """Capacity for up to `wanted` tasks, preempting victims in order only until they fit."""
     available = machine.available()
@@ -35,10 +35,12 @@
         return found
     victims: list[Victim] = []
     for victim in machine.detail().victims:
-        if not may_stop(victim):
+        if not may_preempt(victim):
             continue
-        frees_needed_kind = (victim.cpus and spec.cpus) or (victim.gpus and spec.gpus) or victim.ram
-        if not frees_needed_kind:
+        frees_needed_resource = (
+            (victim.cpus and spec.cpus) or (victim.gpus and spec.gpus) or victim.ram
+        )
+        if not frees_needed_resource:
             continue
         available[0] += victim.cpus
         available[1] += victim.gpus
@@ -72,14 +74,14 @@
 def pack_gang(spec: JobSpec, machines: list[MachineView]) -> list[tuple[MachineView, int]] | None:
     """Distribute all tasks of a gang over `machines`, which are in order of preference. Returns
     pairs of machine and task count; None if the gang does not fit."""
-    most_per_zone = (spec.tasks + 1) // 2  # for a job that must be spread over zones
+    max_per_zone = (spec.tasks + 1) // 2  # for a job that must be spread over zones
     per_zone: dict[str, int] = {}
     left = spec.tasks
     chosen = []
     for machine in machines:
         count = min(machine.fits(spec), left)
         if spec.spread:
-            count = min(count, most_per_zone - per_zone.get(machine.zone, 0))
+            count = min(count, max_per_zone - per_zone.get(machine.zone, 0))
         if count > 0:
             chosen.append((machine, count))
             per_zone[machine.zone] = per_zone.get(machine.zone, 0) + count
--- a/peathall/placement/machine_views.py
+++ b/peathall/placement/machine_views.py
@@ -33,7 +33,7 @@
         self.reservations = reservations
         self.victims = victims
         self.context = context
-        self.heartbeat_s = report_s * LATE_HEARTBEAT_FACTOR
+        self.max_heartbeat_interval_s = report_s * LATE_HEARTBEAT_FACTOR
 
     def schedulable(self) -> list[MachineView]:
         """Machines that accept new tasks."""
@@ -77,7 +77,7 @@
             (machine.cpus, machine.gpus, machine.ram),
             free,
             machine.images,
-            int(silent_s / self.heartbeat_s),
+            int(silent_s / self.max_heartbeat_interval_s),
             lambda: self._detail(machine),
             max(0, constants.MACHINE_TASKS - self.workers.reported_task_count(machine)),
             machine.replicas,
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -18,7 +18,7 @@
 
 # Added to the submission time of jobs that can no longer meet any objective: they sort after the
 # comparable jobs that can, in order of submission.
-OBJECTIVES_MISSED_S = 1e7
+MISSED_OBJECTIVES_DELAY_S = 1e7
 
 
 def machine_sort_key(
@@ -61,7 +61,7 @@
             continue
         if at >= now and (best is None or at < best):
             best = at
-    return best if best is not None else spec.submitted + OBJECTIVES_MISSED_S
+    return best if best is not None else spec.submitted + MISSED_OBJECTIVES_DELAY_S
 
 
 def cluster_seconds(job: JobView, totals: tuple[float, float]) -> float:
--- a/peathall/placement/planned_stops.py
+++ b/peathall/placement/planned_stops.py
@@ -26,7 +26,7 @@
         freed = self._freed.setdefault(victim.team, [0.0, 0.0])
         freed[0] += victim.cpus
         freed[1] += victim.gpus
-        self._pool.by_name[victim.machine].detail().free_soon(victim)
+        self._pool.by_name[victim.machine].detail().add_being_freed(victim)
 
     def freed_by(self, team: str) -> list[float]:
         """CPUs and GPUs of the team that the planned preemptions free."""
--- a/peathall/placement/planner.py
+++ b/peathall/placement/planner.py
@@ -92,16 +92,16 @@
         """Place the job's pending tasks, or preempt other attempts or claim capacity for them."""
         self.quotas.release_reserved(job.spec)
         if job.spec.gang:
-            self._place_whole(job)
+            self._place_or_preempt_gang(job)
             return
         if job.moving:
             self._place_moves(job)
         if job.pending:
-            self._place_independent(job)
+            self._place_or_preempt_tasks(job)
         if job.spec.daemon:
             self.quotas.reserve(job.spec, job.pending)
 
-    def _place_whole(self, job: JobView) -> None:
+    def _place_or_preempt_gang(self, job: JobView) -> None:
         """Place all tasks of a gang, or none and preempt other attempts for them."""
         spec = job.spec
         if job.has_old_attempts:
@@ -117,7 +117,7 @@
             self.preemption.preempt(job, spec.tasks)
             self.plan.unplaced.append((job, spec.tasks))
 
-    def _place_independent(self, job: JobView) -> None:
+    def _place_or_preempt_tasks(self, job: JobView) -> None:
         """Place tasks of an array or replicas of a daemon, as many as capacity and team limit
         allow, and preempt other attempts for the rest."""
         wanted = self.quotas.allowance_for(job.spec, job.pending)
--- a/peathall/placement/pool.py
+++ b/peathall/placement/pool.py
@@ -42,7 +42,7 @@
                 self.groups[key] = MachineGroup(machine)
             self.groups[key].machines.append(machine)
         self.zone_names = list(dict.fromkeys(m.zone for m in machines))
-        self._least_need = (0.0, 0.0, 0.0)  # minimum CPUs, GPUs and GB of any pending task
+        self._min_need = (0.0, 0.0, 0.0)  # minimum CPUs, GPUs and GB of any pending task
 
     def totals(self) -> tuple[float, float]:
         """CPUs and GPUs of all machines."""
@@ -56,7 +56,7 @@
             self.gang_shapes = ()  # no job of this round must leave capacity for gangs
         specs = [job.spec for job in pending]
         # A machine with less of any resource than all pending tasks need is not considered again.
-        self._least_need = (
+        self._min_need = (
             min(s.cpus for s in specs) - EPS,
             min(s.gpus for s in specs) - EPS,
             min(s.ram for s in specs) - EPS,
@@ -67,13 +67,13 @@
 
     def _count_fitting_machines(self) -> list[int]:
         return [
-            sum(m.fits(shape) > 0 for g in self.groups.values() if allowed(g, shape)
+            sum(m.fits(gang) > 0 for g in self.groups.values() if allowed(g, gang)
                 for m in g.machines)
-            for shape in self.gang_shapes
+            for gang in self.gang_shapes
         ]  # fmt: skip
 
     def _remove_full(self, group: MachineGroup) -> None:
-        cpus, gpus, ram = self._least_need
+        cpus, gpus, ram = self._min_need
         group.with_capacity = [
             m
             for m in group.with_capacity
@@ -82,10 +82,10 @@
 
     def take(self, machine: MachineView, spec: JobSpec, count: int) -> None:
         """Allocate capacity for `count` tasks on the machine; a negative count frees it."""
-        before = [machine.fits(shape) > 0 for shape in self.gang_shapes]
+        before = [machine.fits(gang) > 0 for gang in self.gang_shapes]
         machine.take(spec, count)
-        for i, shape in enumerate(self.gang_shapes):
-            if before[i] and not machine.fits(shape) and allowed(machine, shape):
+        for i, gang in enumerate(self.gang_shapes):
+            if before[i] and not machine.fits(gang) and allowed(machine, gang):
                 self._fitting_machines[i] -= 1
 
     @staticmethod
@@ -133,18 +133,17 @@
     def limit_for_gangs(self, machine: MachineView, spec: JobSpec, count: int) -> int:
         """Reduce `count` so that a next gang of each class still finds capacity: machines for all
         of its tasks if it could not preempt tasks of this job, else one machine."""
-        for i, shape in enumerate(self.gang_shapes):
-            machines_needed = shape.tasks if shape.priority >= spec.priority else 1
+        for i, gang in enumerate(self.gang_shapes):
+            machines_needed = gang.tasks if gang.priority >= spec.priority else 1
             # While more machines than needed fit a task of the gang, any one of them may be filled.
             if (
                 self._fitting_machines[i] > machines_needed
-                or not allowed(machine, shape)
-                or not machine.fits(shape)
+                or not allowed(machine, gang)
+                or not machine.fits(gang)
             ):
                 continue
             rest = [
-                a - b
-                for a, b in zip(machine.free, (shape.cpus, shape.gpus, shape.ram), strict=True)
+                a - b for a, b in zip(machine.free, (gang.cpus, gang.gpus, gang.ram), strict=True)
             ]
             count = min(count, fits_in(rest, spec))
         return count
--- a/peathall/placement/quota_preemption.py
+++ b/peathall/placement/quota_preemption.py
@@ -47,27 +47,27 @@
             key=lambda unit: (-unit[0].priority, sum(v.lost_machine_s for v in unit), unit[0].key)
         )
         chosen: list[Sequence[Victim]] = []
-        count = self._fits_after(spec, wanted, freed)
+        count = self._tasks_fitting_after(spec, wanted, freed)
         for unit in units:
             if count >= wanted:
                 break
             freed = [freed[0] + sum(v.cpus for v in unit), freed[1] + sum(v.gpus for v in unit)]
             chosen.append(unit)
-            count = self._fits_after(spec, wanted, freed)
+            count = self._tasks_fitting_after(spec, wanted, freed)
         if spec.gang and count < wanted:
             return 0, []
         for unit in chosen[::-1]:  # drop unnecessary victims, the most costly first
             without = [freed[0] - sum(v.cpus for v in unit), freed[1] - sum(v.gpus for v in unit)]
-            if self._fits_after(spec, wanted, without) >= count:
+            if self._tasks_fitting_after(spec, wanted, without) >= count:
                 freed = without
                 chosen.remove(unit)
         return count, [victim for unit in chosen for victim in unit]
 
-    def _fits_after(self, spec: JobSpec, wanted: int, freed: Sequence[float]) -> int:
+    def _tasks_fitting_after(self, spec: JobSpec, wanted: int, freed: Sequence[float]) -> int:
         """How many of the tasks fit under the limit once `freed` (CPUs and GPUs) is free."""
-        cpus, gpus = self._quotas.lacking(spec, wanted)
+        cpus, gpus = self._quotas.excess(spec, wanted)
         missing = 0
-        for lacking, back, need in ((cpus, freed[0], spec.cpus), (gpus, freed[1], spec.gpus)):
-            if lacking > back + EPS:
-                missing = max(missing, ceil((lacking - back - EPS) / need))
+        for excess, released, need in ((cpus, freed[0], spec.cpus), (gpus, freed[1], spec.gpus)):
+            if excess > released + EPS:
+                missing = max(missing, ceil((excess - released - EPS) / need))
         return max(0, wanted - missing)
--- a/peathall/placement/quotas.py
+++ b/peathall/placement/quotas.py
@@ -55,12 +55,12 @@
             wanted = min(wanted, int((left + EPS) / need))
         return max(0, wanted)
 
-    def lacking(self, spec: JobSpec, count: int) -> tuple[float, float]:
+    def excess(self, spec: JobSpec, count: int) -> tuple[float, float]:
         """CPUs and GPUs by which `count` more tasks would exceed the team's limit."""
-        lacking = [0.0, 0.0]
-        for kind, need, left in self._headroom(spec):
-            lacking[kind] = max(0.0, need * count - left - EPS)
-        return lacking[0], lacking[1]
+        excess = [0.0, 0.0]
+        for resource, need, left in self._headroom(spec):
+            excess[resource] = max(0.0, need * count - left - EPS)
+        return excess[0], excess[1]
 
     def _headroom(self, spec: JobSpec) -> list[tuple[int, float, float]]:
         """For each limited resource that the job uses: its index (0: CPUs, 1: GPUs), the need of
@@ -68,7 +68,11 @@
         team = self._teams[spec.team]
         use = self._usage.get(spec.team, (0.0, 0.0))
         limits = ((0, spec.cpus, team.cpus_max), (1, spec.gpus, team.gpus_max))
-        return [(kind, need, most - use[kind]) for kind, need, most in limits if most and need > 0]
+        return [
+            (resource, need, limit - use[resource])
+            for resource, need, limit in limits
+            if limit and need > 0
+        ]
 
     def use(self, spec: JobSpec, count: int) -> None:
         """Count `count` tasks of the job as started; a negative count reverts that."""
--- a/peathall/placement/reservations.py
+++ b/peathall/placement/reservations.py
@@ -76,8 +76,8 @@
         for reservation in self._reservations:
             spec = reservation.spec
             reserved = capacity.setdefault(reservation.machine, [0.0, 0.0, 0.0])
-            for kind, need in enumerate((spec.cpus, spec.gpus, spec.ram)):
-                reserved[kind] += need
+            for resource, need in enumerate((spec.cpus, spec.gpus, spec.ram)):
+                reserved[resource] += need
         return capacity
 
 
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -87,17 +87,17 @@
         return last.spec.gang and later.attempts[0].job is last
 
 
-def joined_by_gangs(parts: list[RecordPart]) -> Iterator[list[RecordPart]]:
+def group_by_gang(parts: list[RecordPart]) -> Iterator[list[RecordPart]]:
     """Group the parts, in order, so that parts that share a gang are together: the gang starts only
     once all of them are stored."""
-    joined: list[RecordPart] = []
+    group: list[RecordPart] = []
     for part in parts:
-        if joined and not joined[-1].shares_gang_with(part):
-            yield joined
-            joined = []
-        joined.append(part)
-    if joined:
-        yield joined
+        if group and not group[-1].shares_gang_with(part):
+            yield group
+            group = []
+        group.append(part)
+    if group:
+        yield group
 
 
 class RecordSize(Struct):
@@ -116,7 +116,7 @@
         self.cluster = cluster
         self.writer = writer
         self.compaction = compaction or writer  # writer for compaction and deletion
-        self._number = 0
+        self._record_count = 0
         self._sizes: dict[str, RecordSize] = {}
 
     def load(self, items: list[KeyValue], now: float) -> None:
@@ -127,12 +127,12 @@
             named = sum(high - low for entry in entries for low, high in entry.tasks)
             self._sizes[item.key] = RecordSize(named, now)
             for entry in entries:
-                self._adopt(entry, item.key, now)
+                self._restore_attempts(entry, item.key, now)
         for item in items:
             if item.key not in self.cluster.rounds:
                 self.delete(item.key)
 
-    def _adopt(self, entry: RoundEntry, key: str, now: float) -> None:
+    def _restore_attempts(self, entry: RoundEntry, key: str, now: float) -> None:
         """Allocate the attempts of an entry that was read from a record."""
         job = self.cluster.jobs.get(entry.job)
         if job is None:
@@ -154,8 +154,8 @@
         """Allocate the capacity of the assignments and submit their records to the writer."""
         parts = []
         for entries in split_entries(self._entries(assignments), self.writer.value_limit):
-            self._number += 1
-            key = f"{ROUND}{self.cluster.term:08d}-{self._number:07d}"
+            self._record_count += 1
+            key = f"{ROUND}{self.cluster.term:08d}-{self._record_count:07d}"
             attempts = [attempt for entry in entries for attempt in self._allocate(entry, key)]
             self._sizes[key] = RecordSize(len(attempts), now)
             stored = self.writer.submit([Put(key, to_record(entries))])
--- a/peathall/placement/starter.py
+++ b/peathall/placement/starter.py
@@ -11,7 +11,7 @@
 from peathall.cluster.state import ClusterState
 from peathall.placement.job_views import is_starving
 from peathall.placement.plan import Assignment
-from peathall.placement.rounds import RecordPart, RoundRecords, joined_by_gangs
+from peathall.placement.rounds import RecordPart, RoundRecords, group_by_gang
 from peathall.placement.snapshot import Snapshot
 from peathall.store.errors import StoreError
 from peathall.workers.workers import Workers
@@ -41,9 +41,9 @@
         """Start the assignments that are still valid. Returns once each is stored or abandoned."""
         assignments = self._still_valid(assignments, now)
         self._log(assignments)
-        self._note_late(assignments, now)
-        for parts in joined_by_gangs(self.rounds.write(assignments, now)):
-            await self._start_together(parts)
+        self._mark_starved_jobs(assignments, now)
+        for parts in group_by_gang(self.rounds.write(assignments, now)):
+            await self._start_when_stored(parts)
 
     def _still_valid(self, assignments: list[Assignment], now: float) -> list[Assignment]:
         """The assignments without those of jobs that ended while the round was planned, or that use
@@ -87,14 +87,14 @@
             for machine, count in chosen:
                 log.debug("job %s: starting %d tasks on %s", job_id, count, machine.name)
 
-    def _note_late(self, assignments: list[Assignment], now: float) -> None:
+    def _mark_starved_jobs(self, assignments: list[Assignment], now: float) -> None:
         """Mark the starving jobs that start now, which protects their starts from preemption."""
         for job_id in dict.fromkeys(assignment.job for assignment in assignments):
             job = self.cluster.jobs[job_id]
             if job.health is not JobHealth.FAILING and not job.attempts:
                 job.started_late |= is_starving(job, now)
 
-    async def _start_together(self, parts: list[RecordPart]) -> None:
+    async def _start_when_stored(self, parts: list[RecordPart]) -> None:
         """Start the attempts of records that share a gang, once all of the records are stored. If a
         record is not stored, the gang does not start."""
         failed: list[RecordPart] = []
@@ -112,9 +112,9 @@
         for attempt in abandoned:
             self.cluster.release(attempt, self.loop.time())
         for part in stored:
-            self._send(part)
+            self._allow_start_commands(part)
 
-    def _send(self, part: RecordPart) -> None:
+    def _allow_start_commands(self, part: RecordPart) -> None:
         """Allow the start commands of a stored record, and have them pushed to the machines."""
         now = self.loop.time()
         within_quota = self.snapshot.context.within_quota
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -76,10 +76,10 @@
         self._sorted: list[Victim] | None = None
         self._by_expected_end: list[Victim] | None = None
 
-    def free_soon(self, victim: Victim) -> None:
+    def add_being_freed(self, victim: Victim) -> None:
         """Count the capacity of a victim that is to be preempted as being freed."""
-        for kind, amount in enumerate((victim.cpus, victim.gpus, victim.ram)):
-            self.being_freed[kind] += amount
+        for resource, amount in enumerate((victim.cpus, victim.gpus, victim.ram)):
+            self.being_freed[resource] += amount
 
     @property
     def victims(self) -> list[Victim]:
