--- a/peathall/autoscaling/scale_out.py
+++ b/peathall/autoscaling/scale_out.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 from peathall.cluster.machine import Machine
-from peathall.placement.bin_packing import EPS, fits_in
+from peathall.placement.bin_packing import EPS, fitting_tasks
 from peathall.placement.views import JobView
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec
@@ -84,7 +84,7 @@
 
 def price_per_task(offer: MachineOffer, spec: JobSpec, count: int) -> float:
     """Price of an hour for each task placed on a new machine, if `count` tasks wait."""
-    fit = fits_in([offer.type.cpus, offer.type.gpus, offer.type.ram], spec)
+    fit = fitting_tasks([offer.type.cpus, offer.type.gpus, offer.type.ram], spec)
     return offer.price / max(1, min(fit, count))
 
 
@@ -129,7 +129,7 @@
     placed = 0
     for item in bins:
         allowed = zone_allowance(spec, zones, item.offer.zone)
-        fit = min(fits_in(item.free, spec), count - placed, allowed)
+        fit = min(fitting_tasks(item.free, spec), count - placed, allowed)
         if fit > 0:
             item.put(spec, fit)
             zones[item.offer.zone] = zones.get(item.offer.zone, 0) + fit
@@ -148,7 +148,7 @@
             break
         offer = min(allowed, key=lambda o: (price_per_task(o, spec, count), o.spot, o.key))
         new = Bin(offer)
-        fit = min(fits_in(new.free, spec), count, zone_allowance(spec, zones, offer.zone))
+        fit = min(fitting_tasks(new.free, spec), count, zone_allowance(spec, zones, offer.zone))
         new.put(spec, fit)
         zones[offer.zone] = zones.get(offer.zone, 0) + fit
         machines.append(new)
@@ -172,7 +172,7 @@
         return next(iter(zones), None)
 
     def rank(zone: str) -> tuple[bool, int, bool]:
-        fits = sum(fits_in(b.free, spec) for b in bins if b.offer.zone == zone)
+        fits = sum(fitting_tasks(b.free, spec) for b in bins if b.offer.zone == zone)
         more = any(o.zone == zone for o in offers)
         return more or fits >= count, min(fits, count), more
 
--- a/peathall/cells/capacity.py
+++ b/peathall/cells/capacity.py
@@ -7,7 +7,7 @@
 
 from peathall import constants
 from peathall.cells.model import CapacityRow
-from peathall.placement.bin_packing import allowed, fits_in
+from peathall.placement.bin_packing import allowed, fitting_tasks
 from peathall.placement.views import MachineView
 from peathall.protocol.jobs import JobSpec
 
@@ -33,7 +33,7 @@
     for row in rows:
         if not allowed(row, spec):
             continue
-        by_zone[row.zone] += fits_in((row.cpus, row.gpus, row.ram), spec) * row.machines
+        by_zone[row.zone] += fitting_tasks((row.cpus, row.gpus, row.ram), spec) * row.machines
     if spec.one_zone:
         return max(by_zone.values(), default=0) >= spec.tasks
     most = (spec.tasks + 1) // 2 if spec.spread else spec.tasks
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -19,7 +19,7 @@
 from peathall.cells.model import CapacityRow
 from peathall.config.platform import Objective
 from peathall.placement.bin_packing import allowed
-from peathall.placement.capacity import free_in
+from peathall.placement.capacity import earliest_fit
 from peathall.placement.views import JobView, MachineView
 from peathall.protocol.jobs import JobSpec, Priority
 
@@ -79,11 +79,11 @@
     coming: list[tuple[float, str, int]] = []
     for machine in machines:
         if allowed(machine, spec):
-            wait, count = free_in(machine, spec)
+            wait, count = earliest_fit(machine, spec)
             coming.append((wait, machine.zone, count))
     for wait, machine in starting:
         if allowed(machine, spec):
-            coming.append((wait, machine.zone, machine.fits(spec)))
+            coming.append((wait, machine.zone, machine.capacity_for(spec)))
     found: dict[str, int] = {}
     for wait, zone, count in sorted(coming):
         group = zone if spec.one_zone else ""
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -121,32 +121,32 @@
 DIRECT_TIMEOUT_S = 2.0  # a direct command without a response is repeated by the next heartbeat
 
 # --- placement ----------------------------------------------------------------------------------
-ROUND_GAP_S = 0.2  # minimum pause before a round, so that changes close in time share one
-ROUND_LOAD = 6.0  # times the last round's duration: pause after a round, which limits the load
+ROUND_MIN_PAUSE_S = 0.2  # minimum pause before a round, so that changes close in time share one
+ROUND_PAUSE_FACTOR = 6.0  # times the last round's duration: pause after it, to limit the load
 ROUND_SLICE_S = 0.01  # planning time after which a round yields to the event loop
-ROUND_COMPACT_S = 60.0  # minimum age of a compacted round record: most are deleted earlier
+ROUND_COMPACT_AGE_S = 60.0  # minimum age of a compacted round record: most are deleted earlier
 ROUND_COMPACT_FACTOR = 4  # times the live attempts: a record that names more is compacted
-ROUND_IDLE_S = 2.0  # between rounds without a request: deadlines and health change with time
-SHAPE_MEMORY_S = 180.0  # after a gang of a class arrives, capacity is left free for the next one
+ROUND_MAX_WAIT_S = 2.0  # between rounds without a request: deadlines and health change with time
+RECENT_GANG_S = 180.0  # after a gang of a class arrives, capacity is left free for the next one
 STABLE_START_S = 31.0  # a start that is stopped within 30 s does not count for the objectives
 # Times the duration of a checkpoint. A task with periodic checkpoints at most this far apart is
 # preempted without a new one: it loses half an interval on average, at most twice the delay that a
 # checkpoint would cost the preempting job.
-CHECKPOINT_WORTH = 4.0
-RESTART_S = 10.0  # time that a preempted task loses to queueing, starting and perhaps fetching
+CHECKPOINT_INTERVAL_FACTOR = 4.0
+RESTART_COST_S = 10.0  # time that a preempted task loses to queueing, starting and perhaps fetching
 # Number of replicas on one machine from which other machines are preferred, so that the loss of a
 # machine costs few replicas. A lower number makes more replicas fetch their image and start late.
-REPLICAS_TOGETHER = 8
+PREFERRED_REPLICAS_PER_MACHINE = 8
 JOB_SIZE_WEIGHT = 3.0  # times the seconds a job would fill the cluster: added to its latest start
 CANARY_DELAY_S = 1e6  # sorts canaries of failing jobs after other jobs of their priority
 # Time without any attempt after which a job goes before all others, so that the largest jobs start
 # within four minutes, however many smaller ones arrive.
 STARVING_S = 150.0
 GANG_STARVING_STEP_S = 10.0  # a gang counts as starving this much sooner per task after the first
-GANG_STARVING_MOST_S = 90.0  # maximum of that sum for one gang
-ESTIMATE_FLOOR = 0.3  # of the estimated run time: minimum expected to remain of a running task
-FETCH_WORTH_S = 10.0  # image fetch time from which preempting where the image is cached is better
-URGENT_S = 30.0  # time left to meet an objective below which a job may preempt others
+GANG_STARVING_MAX_S = 90.0  # maximum of that sum for one gang
+MIN_REMAINING_SHARE = 0.3  # of the estimated run time: minimum expected to remain of a running task
+LONG_FETCH_S = 10.0  # image fetch time from which preempting where the image is cached is better
+URGENT_SLACK_S = 30.0  # time left to meet an objective below which a job may preempt others
 
 # --- autoscaling --------------------------------------------------------------------------------
 LIST_S = 3.0  # between reads of the machine list, at least
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -12,7 +12,7 @@
 from peathall.autoscaling.machine_types import TYPES
 from peathall.jobs import records
 from peathall.leader.wiring import LeaderSlices
-from peathall.placement.rounds import ROUND
+from peathall.placement.rounds import ROUND_PREFIX
 from peathall.protocol.state_service import KeyValue
 from peathall.store.client import StoreClient
 from peathall.store.errors import StoreError
@@ -63,7 +63,7 @@
         types = await self._store.get(TYPES)
         live, live_revision = await self._store.scan(records.LIVE)
         done, _ = await self._store.scan(records.DONE)
-        rounds, _ = await self._store.scan(ROUND)
+        rounds, _ = await self._store.scan(ROUND_PREFIX)
         image_caches, _ = await self._store.scan(CACHE)
         failing_jobs = await self._store.get(FAILING_JOBS_KEY)
         pending_deletions = await self._slices.duties.pending_deletions()
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -122,7 +122,7 @@
             wall=self._context.wall,
             is_leader=self._state.is_active,
             demand=[self.autoscaler, self.events],
-            compaction=self.duties.compaction,
+            compaction_writer=self.duties.compaction,
         )
 
     def _make_cell_leader(self) -> CellLeader | None:
--- a/peathall/placement/bin_packing.py
+++ b/peathall/placement/bin_packing.py
@@ -10,7 +10,7 @@
 EPS = 1e-6  # CPUs, GPUs or GB; tolerance for rounding errors in sums of decimal fractions
 
 
-def fits_in(free: Sequence[float], spec: JobSpec) -> int:
+def fitting_tasks(free: Sequence[float], spec: JobSpec) -> int:
     """Return how many tasks of the job fit into `free` (CPUs, GPUs, GB of memory)."""
     count = spec.tasks
     if spec.cpus > 0:
--- a/peathall/placement/capacity.py
+++ b/peathall/placement/capacity.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, structs
 
-from peathall.placement.bin_packing import fits_in
+from peathall.placement.bin_packing import fitting_tasks
 from peathall.placement.views import MachineView, Victim
 from peathall.protocol.jobs import JobSpec
 
@@ -29,7 +29,7 @@
 ) -> MachineCapacity:
     """Capacity for up to `wanted` tasks, preempting victims in order only until they fit."""
     available = machine.available()
-    count = min(fits_in(available, spec), wanted)
+    count = min(fitting_tasks(available, spec), wanted)
     found = MachineCapacity(machine, count)
     if count >= wanted:
         return found
@@ -46,7 +46,7 @@
         available[1] += victim.gpus
         available[2] += victim.ram
         victims.append(victim)
-        fitting = min(fits_in(available, spec), wanted)
+        fitting = min(fitting_tasks(available, spec), wanted)
         if fitting > count:
             count = fitting
             cost = sum(v.lost_machine_s for v in victims)
@@ -56,19 +56,19 @@
     return found
 
 
-def free_in(machine: MachineView, spec: JobSpec) -> tuple[float, int]:
+def earliest_fit(machine: MachineView, spec: JobSpec) -> tuple[float, int]:
     """Seconds until a task of the job fits on the machine, and how many tasks fit then, assuming
     that attempts end as estimated and nothing else starts on the machine."""
     available = machine.available()
     wait_s = 0.0
     for victim in machine.detail().by_expected_end:
-        if fits_in(available, spec):
+        if fitting_tasks(available, spec):
             break
         available[0] += victim.cpus
         available[1] += victim.gpus
         available[2] += victim.ram
         wait_s = victim.ends_in_s
-    return wait_s, min(spec.tasks, fits_in(available, spec))
+    return wait_s, min(spec.tasks, fitting_tasks(available, spec))
 
 
 def pack_gang(spec: JobSpec, machines: list[MachineView]) -> list[tuple[MachineView, int]] | None:
@@ -79,7 +79,7 @@
     left = spec.tasks
     chosen = []
     for machine in machines:
-        count = min(machine.fits(spec), left)
+        count = min(machine.capacity_for(spec), left)
         if spec.spread:
             count = min(count, max_per_zone - per_zone.get(machine.zone, 0))
         if count > 0:
--- a/peathall/placement/eviction.py
+++ b/peathall/placement/eviction.py
@@ -30,7 +30,10 @@
             return  # the task ended while the round was planned
         attempt, spec = job.attempts[key.task], job.spec
         log.info("stopping task %s/%d on %s: preempted for another job", *key, attempt.machine)
-        if not spec.gang and spec.checkpoint_s <= constants.CHECKPOINT_WORTH * spec.save_s:
+        if (
+            not spec.gang
+            and spec.checkpoint_s <= constants.CHECKPOINT_INTERVAL_FACTOR * spec.save_s
+        ):
             # Little work is lost since the last periodic checkpoint, and a new checkpoint would
             # delay the preempting job.
             self.workers.stop(attempt, 0.0, now)
@@ -64,7 +67,8 @@
             if attempt.is_leaving or spec.daemon:
                 continue
             rest_s = max(
-                spec.expected_s - (now - attempt.since), spec.expected_s * constants.ESTIMATE_FLOOR
+                spec.expected_s - (now - attempt.since),
+                spec.expected_s * constants.MIN_REMAINING_SHARE,
             )
             if not spec.checkpoint_s and attempt.running and rest_s < left_s:
                 continue  # expected to end before the machine is reclaimed
--- a/peathall/placement/job_views.py
+++ b/peathall/placement/job_views.py
@@ -51,7 +51,7 @@
         self.faults = faults
         self.reservations = reservations
         self.context = context
-        self._gang_shapes: dict[str, JobSpec] = {}  # by class
+        self._recent_gangs: dict[str, JobSpec] = {}  # by class
 
     def active(self) -> list[Job]:
         """Jobs that have not ended."""
@@ -71,20 +71,20 @@
         """View of a job of another cell for which capacity is to be reserved."""
         return JobView(spec, spec.tasks, urgent=False, borrowed=True)
 
-    def gang_shapes(self) -> list[JobSpec]:
+    def recent_gangs(self) -> list[JobSpec]:
         """The largest recently submitted gang of each class."""
         gangs = [job.spec for job in self.cluster.jobs.values() if job.spec.gang]
         recent = [
             spec
-            for spec in [*self._gang_shapes.values(), *gangs]
-            if self.context.wall - spec.submitted < constants.SHAPE_MEMORY_S
+            for spec in [*self._recent_gangs.values(), *gangs]
+            if self.context.wall - spec.submitted < constants.RECENT_GANG_S
         ]
-        self._gang_shapes = {}
+        self._recent_gangs = {}
         for spec in recent:
-            known = self._gang_shapes.get(spec.class_name)
+            known = self._recent_gangs.get(spec.class_name)
             if known is None or (spec.tasks, spec.submitted) >= (known.tasks, known.submitted):
-                self._gang_shapes[spec.class_name] = spec
-        return list(self._gang_shapes.values())
+                self._recent_gangs[spec.class_name] = spec
+        return list(self._recent_gangs.values())
 
     def reserved(self) -> list[tuple[JobSpec, int]]:
         """Jobs for which part of their team's limit is reserved, each with the number of tasks."""
@@ -127,7 +127,7 @@
             return self._borrowed_view(job, startable)
         latest = latest_start(job.spec, self.objectives, self.context.wall, 0.0)
         starving = not job.attempts and is_starving(job, self.context.now)
-        late = latest - self.context.wall < constants.URGENT_S
+        late = latest - self.context.wall < constants.URGENT_SLACK_S
         return JobView(
             job.spec,
             startable,
--- a/peathall/placement/ordering.py
+++ b/peathall/placement/ordering.py
@@ -32,7 +32,7 @@
     return (
         machine.gpus,
         prefer_spot and not machine.spot,
-        spec.daemon and machine.replicas >= constants.REPLICAS_TOGETHER,
+        spec.daemon and machine.replicas >= constants.PREFERRED_REPLICAS_PER_MACHINE,
         not cached,
         not cached and spec.image not in machine.detail().fetching,
         machine.missed_intervals,
@@ -76,7 +76,7 @@
     """Seconds by which a gang counts as starving sooner, since the machines that it needs become
     free one by one; 0 for independent tasks."""
     return (
-        min(constants.GANG_STARVING_MOST_S, constants.GANG_STARVING_STEP_S * (spec.tasks - 1))
+        min(constants.GANG_STARVING_MAX_S, constants.GANG_STARVING_STEP_S * (spec.tasks - 1))
         if spec.gang
         else 0.0
     )
--- a/peathall/placement/placement.py
+++ b/peathall/placement/placement.py
@@ -44,7 +44,7 @@
         wall: Callable[[], float],
         is_leader: Callable[[], bool],
         demand: Sequence[DemandListener],
-        compaction: DeferredWriter | None = None,
+        compaction_writer: DeferredWriter | None = None,
     ) -> None:
         self.cluster = cluster
         self.wall = wall
@@ -57,7 +57,7 @@
         self.reservations = Reservations()
         self.requests = CapacityRequests(self.reservations, self.request_round)
         self.snapshot = Snapshot(cluster, params, workers, self.reservations)
-        self.rounds = RoundRecords(cluster, writer, compaction)
+        self.rounds = RoundRecords(cluster, writer, compaction_writer)
         self.eviction = Eviction(cluster, workers, self.reservations)
         self.starter = Starter(cluster, workers, self.snapshot, self.rounds, wall)
 
@@ -70,17 +70,20 @@
         """Run rounds until cancelled. The pause between rounds grows with their duration."""
         while True:
             try:
-                await asyncio.wait_for(self.wake.wait(), constants.ROUND_IDLE_S)
+                await asyncio.wait_for(self.wake.wait(), constants.ROUND_MAX_WAIT_S)
             except TimeoutError:
                 pass
-            await asyncio.sleep(constants.ROUND_GAP_S)
+            await asyncio.sleep(constants.ROUND_MIN_PAUSE_S)
             self.wake.clear()
             if not self.is_leader():
                 continue
             began = self.loop.time()
             await self.round(began)
             await asyncio.sleep(
-                min(constants.ROUND_IDLE_S, (self.loop.time() - began) * constants.ROUND_LOAD)
+                min(
+                    constants.ROUND_MAX_WAIT_S,
+                    (self.loop.time() - began) * constants.ROUND_PAUSE_FACTOR,
+                )
             )
 
     async def round(self, now: float) -> None:
@@ -111,9 +114,9 @@
             snapshot.teams,
             self.cluster.usage,
             prefer_spot=any(not job.spec.spot for job in active),
-            gang_shapes=snapshot.jobs.gang_shapes(),
+            recent_gangs=snapshot.jobs.recent_gangs(),
             lowest_priority=max((job.spec.priority for job in active if job.attempts), default=-1),
-            team_work=snapshot.victims.team_work,
+            team_workload=snapshot.victims.team_workload,
             reserved=snapshot.jobs.reserved(),
         )
         since = self.loop.time()
--- a/peathall/placement/planned_stops.py
+++ b/peathall/placement/planned_preemptions.py
@@ -7,7 +7,7 @@
 from peathall.placement.views import Victim
 
 
-class PlannedStops:
+class PlannedPreemptions:
     """Adds preemptions to the plan, each attempt once."""
 
     def __init__(self, pool: MachinePool, plan: Plan) -> None:
--- a/peathall/placement/planner.py
+++ b/peathall/placement/planner.py
@@ -10,9 +10,9 @@
 from peathall.placement.plan import Assignment, Move, Plan
 from peathall.placement.pool import MachinePool
 from peathall.placement.preemption import Preemption
-from peathall.placement.quota_preemption import TeamWorkLookup
+from peathall.placement.quota_preemption import TeamWorkloadLookup
 from peathall.placement.quotas import TeamQuotas
-from peathall.placement.views import JobView, MachineView, TeamWork
+from peathall.placement.views import JobView, MachineView, TeamWorkload
 from peathall.protocol.jobs import JobSpec
 
 
@@ -32,12 +32,12 @@
         usage: dict[str, list[float]],
         *,
         prefer_spot: bool = False,
-        gang_shapes: Sequence[JobSpec] = (),
+        recent_gangs: Sequence[JobSpec] = (),
         lowest_priority: int | None = None,
-        team_work: TeamWorkLookup = lambda team, priority: TeamWork(),
+        team_workload: TeamWorkloadLookup = lambda team, priority: TeamWorkload(),
         reserved: Sequence[tuple[JobSpec, int]] = (),
     ) -> None:
-        self.pool = MachinePool(machines, prefer_spot, gang_shapes)
+        self.pool = MachinePool(machines, prefer_spot, recent_gangs)
         self.quotas = TeamQuotas(teams, usage)
         for spec, count in reserved:
             self.quotas.reserve(spec, count)
@@ -46,7 +46,9 @@
             lowest_priority = max(
                 (v.priority for m in machines for v in m.detail().victims), default=-1
             )
-        self.preemption = Preemption(self.pool, self.quotas, self.plan, lowest_priority, team_work)
+        self.preemption = Preemption(
+            self.pool, self.quotas, self.plan, lowest_priority, team_workload
+        )
 
     def run(self, jobs: list[JobView]) -> Iterator[None]:
         """Place the jobs one by one; the caller may run other coroutines at each yield."""
@@ -148,7 +150,7 @@
         for machine, limit in zip(machines, limits, strict=True):
             if wanted <= 0:
                 break
-            count = min(machine.fits(spec), wanted, limit)
+            count = min(machine.capacity_for(spec), wanted, limit)
             if not job.urgent:
                 count = self.pool.limit_for_gangs(machine, spec, count)
             count = min(count, zone_allowance(job, machine.zone))
@@ -201,7 +203,7 @@
                 continue
             machine.take(job.spec, -reserved)
             allowance = zone_allowance(job, machine.zone)
-            count = min(reserved, machine.fits(job.spec), wanted - started, allowance)
+            count = min(reserved, machine.capacity_for(job.spec), wanted - started, allowance)
             if count > 0:
                 self._start(job, machine, count)
                 started += count
@@ -218,7 +220,8 @@
         for replica in job.moving:
             job.running_zones[replica.zone] = job.running_zones.get(replica.zone, 1) - 1
             target = next(
-                (m for m in machines if m.fits(spec) and zone_allowance(job, m.zone) > 0), None
+                (m for m in machines if m.capacity_for(spec) and zone_allowance(job, m.zone) > 0),
+                None,
             )
             if target is None:
                 job.running_zones[replica.zone] += 1
--- a/peathall/placement/pool.py
+++ b/peathall/placement/pool.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from zlib import crc32
 
-from peathall.placement.bin_packing import EPS, allowed, fits_in
+from peathall.placement.bin_packing import EPS, allowed, fitting_tasks
 from peathall.placement.ordering import machine_sort_key
 from peathall.placement.views import JobView, MachineView
 from peathall.protocol.jobs import JobSpec
@@ -26,13 +26,13 @@
     """The machines by group, with the capacity that is still free at this point of the round."""
 
     def __init__(
-        self, machines: list[MachineView], prefer_spot: bool, gang_shapes: Sequence[JobSpec]
+        self, machines: list[MachineView], prefer_spot: bool, recent_gangs: Sequence[JobSpec]
     ) -> None:
         self.machines = machines
         self.by_name = {machine.name: machine for machine in machines}
         self.prefer_spot = prefer_spot  # keep other machines for jobs that must not use spot
         # The largest recent gang of each class: capacity for a next gang like it is left free.
-        self.gang_shapes = gang_shapes
+        self.recent_gangs = recent_gangs
         # For each of these gangs, the number of machines that fit at least one more of its tasks.
         self._fitting_machines: list[int] = []
         self.groups: dict[tuple[str, str, bool], MachineGroup] = {}
@@ -53,7 +53,7 @@
         if any(not job.spec.gang and not job.urgent for job in pending):
             self._fitting_machines = self._count_fitting_machines()
         else:
-            self.gang_shapes = ()  # no job of this round must leave capacity for gangs
+            self.recent_gangs = ()  # no job of this round must leave capacity for gangs
         specs = [job.spec for job in pending]
         # A machine with less of any resource than all pending tasks need is not considered again.
         self._min_need = (
@@ -67,9 +67,9 @@
 
     def _count_fitting_machines(self) -> list[int]:
         return [
-            sum(m.fits(gang) > 0 for g in self.groups.values() if allowed(g, gang)
+            sum(m.capacity_for(gang) > 0 for g in self.groups.values() if allowed(g, gang)
                 for m in g.machines)
-            for gang in self.gang_shapes
+            for gang in self.recent_gangs
         ]  # fmt: skip
 
     def _remove_full(self, group: MachineGroup) -> None:
@@ -82,10 +82,10 @@
 
     def take(self, machine: MachineView, spec: JobSpec, count: int) -> None:
         """Allocate capacity for `count` tasks on the machine; a negative count frees it."""
-        before = [machine.fits(gang) > 0 for gang in self.gang_shapes]
+        before = [machine.capacity_for(gang) > 0 for gang in self.recent_gangs]
         machine.take(spec, count)
-        for i, gang in enumerate(self.gang_shapes):
-            if before[i] and not machine.fits(gang) and allowed(machine, gang):
+        for i, gang in enumerate(self.recent_gangs):
+            if before[i] and not machine.capacity_for(gang) and allowed(machine, gang):
                 self._fitting_machines[i] -= 1
 
     @staticmethod
@@ -133,19 +133,19 @@
     def limit_for_gangs(self, machine: MachineView, spec: JobSpec, count: int) -> int:
         """Reduce `count` so that a next gang of each class still finds capacity: machines for all
         of its tasks if it could not preempt tasks of this job, else one machine."""
-        for i, gang in enumerate(self.gang_shapes):
+        for i, gang in enumerate(self.recent_gangs):
             machines_needed = gang.tasks if gang.priority >= spec.priority else 1
             # While more machines than needed fit a task of the gang, any one of them may be filled.
             if (
                 self._fitting_machines[i] > machines_needed
                 or not allowed(machine, gang)
-                or not machine.fits(gang)
+                or not machine.capacity_for(gang)
             ):
                 continue
             rest = [
                 a - b for a, b in zip(machine.free, (gang.cpus, gang.gpus, gang.ram), strict=True)
             ]
-            count = min(count, fits_in(rest, spec))
+            count = min(count, fitting_tasks(rest, spec))
         return count
 
     def zones(self, spec: JobSpec) -> list[str | None]:
--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -7,11 +7,11 @@
 from msgspec import Struct
 
 from peathall import constants
-from peathall.placement.capacity import MachineCapacity, capacity_with_victims, free_in
+from peathall.placement.capacity import MachineCapacity, capacity_with_victims, earliest_fit
 from peathall.placement.plan import Plan
-from peathall.placement.planned_stops import PlannedStops
+from peathall.placement.planned_preemptions import PlannedPreemptions
 from peathall.placement.pool import MachinePool
-from peathall.placement.quota_preemption import QuotaVictims, TeamWorkLookup
+from peathall.placement.quota_preemption import QuotaVictims, TeamWorkloadLookup
 from peathall.placement.quotas import TeamQuotas
 from peathall.placement.views import JobView, MachineView, Victim
 from peathall.protocol.jobs import JobSpec
@@ -34,18 +34,18 @@
         quotas: TeamQuotas,
         plan: Plan,
         lowest_priority: int,
-        team_work: TeamWorkLookup,
+        team_workload: TeamWorkloadLookup,
     ) -> None:
         self.pool = pool
         self.quotas = quotas
         self.plan = plan
         self.lowest_priority = lowest_priority  # of all running attempts; the highest number
-        self.stops = PlannedStops(pool, plan)
-        self.quota_victims = QuotaVictims(pool, quotas, self.stops, team_work)
+        self.planned = PlannedPreemptions(pool, plan)
+        self.quota_victims = QuotaVictims(pool, quotas, self.planned, team_workload)
 
     def may_preempt(self, victim: Victim, job: JobView) -> bool:
         """Whether the rules allow the job to preempt the victim."""
-        if victim.key in self.stops.keys:
+        if victim.key in self.planned.keys:
             return False
         if victim.priority > job.spec.priority or (victim.borrowed and job.within_quota):
             return True
@@ -62,10 +62,10 @@
         """Preempt attempts on machines that have the image cached, if the image takes long to fetch
         elsewhere. Returns whether the job waits for these machines."""
         spec = job.spec
-        if job.fetch_s < constants.FETCH_WORTH_S or not job.urgent:
+        if job.fetch_s < constants.LONG_FETCH_S or not job.urgent:
             return False
         cached = [m for m in self.pool.usable(job) if spec.image in m.images]
-        free = sum(m.fits(spec) for m in cached if self.pool.may_start_on(m, spec))
+        free = sum(m.capacity_for(spec) for m in cached if self.pool.may_start_on(m, spec))
         if not cached or free >= wanted:
             return False
         return self.preempt(job, wanted, cached)
@@ -89,7 +89,7 @@
             self.plan.unplaced.append((job, count))
             return False
         for victim in victims:
-            self.stops.add(victim)
+            self.planned.add(victim)
         self.preempt(job, count)
         self.quotas.use(spec, count)
         return True
@@ -112,7 +112,7 @@
             self._hold_machines(job)
         for found in best or ():
             for victim in found.victims:
-                self.stops.add(victim)
+                self.planned.add(victim)
             self._claim(found.machine, spec, found.count)
         return best is not None and sum(found.count for found in best) >= wanted
 
@@ -173,7 +173,7 @@
         for zone in self.pool.zones(spec):
             options = []
             for machine in self.pool.usable(job, zone):
-                wait_s, count = free_in(machine, spec)
+                wait_s, count = earliest_fit(machine, spec)
                 if count and wait_s < inf:
                     options.append(FutureCapacity(wait_s, machine, count))
             options.sort(key=lambda option: (option.wait_s, option.machine.name))
--- a/peathall/placement/quota_preemption.py
+++ b/peathall/placement/quota_preemption.py
@@ -6,14 +6,14 @@
 from math import ceil
 
 from peathall.placement.bin_packing import EPS
-from peathall.placement.planned_stops import PlannedStops
+from peathall.placement.planned_preemptions import PlannedPreemptions
 from peathall.placement.pool import MachinePool
 from peathall.placement.quotas import TeamQuotas
-from peathall.placement.views import TeamWork, Victim
+from peathall.placement.views import TeamWorkload, Victim
 from peathall.protocol.jobs import JobSpec
 
 # (team, priority) -> the team's work of lower priority.
-TeamWorkLookup = Callable[[str, int], TeamWork]
+TeamWorkloadLookup = Callable[[str, int], TeamWorkload]
 
 
 class QuotaVictims:
@@ -23,25 +23,27 @@
         self,
         pool: MachinePool,
         quotas: TeamQuotas,
-        stops: PlannedStops,
-        team_work: TeamWorkLookup,
+        planned: PlannedPreemptions,
+        team_workload: TeamWorkloadLookup,
     ) -> None:
         self._pool = pool
         self._quotas = quotas
-        self._stops = stops
-        self._team_work = team_work
+        self._planned = planned
+        self._team_workload = team_workload
 
     def choose(self, spec: JobSpec, wanted: int) -> tuple[int, list[Victim]]:
         """Choose victims, of the lowest priority first and no more than necessary. Returns the
         number of tasks that fit under the limit once the victims are gone, and the victims. A gang
         fits as a whole or not at all."""
-        work = self._team_work(spec.team, spec.priority)
-        being_freed = self._stops.freed_by(spec.team)
+        work = self._team_workload(spec.team, spec.priority)
+        being_freed = self._planned.freed_by(spec.team)
         freed = [a + b for a, b in zip(work.being_freed, being_freed, strict=True)]
         units = [
             unit
             for unit in work.preemptible
-            if all(v.key not in self._stops.keys and v.machine in self._pool.by_name for v in unit)
+            if all(
+                v.key not in self._planned.keys and v.machine in self._pool.by_name for v in unit
+            )
         ]
         units.sort(
             key=lambda unit: (-unit[0].priority, sum(v.lost_machine_s for v in unit), unit[0].key)
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -29,7 +29,7 @@
 from peathall.store.mutation import Mutation
 from peathall.store.writer import Writer
 
-ROUND = "round/"
+ROUND_PREFIX = "round/"
 
 
 class RoundEntry(Struct, array_like=True, frozen=True):
@@ -111,11 +111,11 @@
     """Writes, reads, compacts and deletes the records of rounds."""
 
     def __init__(
-        self, cluster: ClusterState, writer: Writer, compaction: DeferredWriter | None = None
+        self, cluster: ClusterState, writer: Writer, compaction_writer: DeferredWriter | None = None
     ) -> None:
         self.cluster = cluster
         self.writer = writer
-        self.compaction = compaction or writer  # writer for compaction and deletion
+        self.compaction_writer = compaction_writer or writer  # writer for compaction and deletion
         self._record_count = 0
         self._sizes: dict[str, RecordSize] = {}
 
@@ -155,7 +155,7 @@
         parts = []
         for entries in split_entries(self._entries(assignments), self.writer.value_limit):
             self._record_count += 1
-            key = f"{ROUND}{self.cluster.term:08d}-{self._record_count:07d}"
+            key = f"{ROUND_PREFIX}{self.cluster.term:08d}-{self._record_count:07d}"
             attempts = [attempt for entry in entries for attempt in self._allocate(entry, key)]
             self._sizes[key] = RecordSize(len(attempts), now)
             stored = self.writer.submit([Put(key, to_record(entries))])
@@ -185,7 +185,7 @@
         """Delete a record, none of whose attempts can exist any more."""
         self._sizes.pop(key, None)
         if key in self.writer.versions:
-            self.compaction.defer_delete(key)
+            self.compaction_writer.defer_delete(key)
 
     def compact(self, now: float) -> None:
         """Queue deferred compaction of old records that name many more attempts than may exist."""
@@ -193,12 +193,14 @@
             size = self._sizes.get(key)
             if (
                 size is not None
-                and now - size.since > constants.ROUND_COMPACT_S
+                and now - size.since > constants.ROUND_COMPACT_AGE_S
                 and size.attempts >= constants.ROUND_COMPACT_FACTOR * len(attempts)
             ):
-                self.compaction.defer(f"compact {key}", partial(self.compaction_of, key, now))
+                self.compaction_writer.defer(
+                    f"compact {key}", partial(self.compaction_mutation, key, now)
+                )
 
-    def compaction_of(self, key: str, now: float) -> Mutation | None:
+    def compaction_mutation(self, key: str, now: float) -> Mutation | None:
         """The mutation that reduces the record to the attempts that exist now; None if none do or
         the record is deleted."""
         attempts = list(self.cluster.rounds.get(key, ()))
--- a/peathall/placement/victims.py
+++ b/peathall/placement/victims.py
@@ -9,7 +9,7 @@
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
 from peathall.placement.context import RoundContext
-from peathall.placement.views import TeamWork, Victim
+from peathall.placement.views import TeamWorkload, Victim
 
 
 class Victims:
@@ -26,7 +26,7 @@
             if victim is not None:
                 yield victim
 
-    def team_work(self, team: str, priority: int) -> TeamWork:
+    def team_workload(self, team: str, priority: int) -> TeamWorkload:
         """The team's capacity being freed, and its work that a job of `priority` may preempt."""
         cpus = gpus = 0.0
         units: list[list[Victim]] = []
@@ -38,7 +38,7 @@
             cpus, gpus = cpus + spec.cpus * leaving, gpus + spec.gpus * leaving
             if spec.priority > priority and leaving < len(job.attempts):
                 units += self._units(job)
-        return TeamWork((cpus, gpus), units)
+        return TeamWorkload((cpus, gpus), units)
 
     def _units(self, job: Job) -> list[list[Victim]]:
         """The job's victims, in lists that are preempted as a whole: independent tasks one by one,
@@ -70,7 +70,7 @@
             attempt.task,
             machine.name,
             spec.id in self.context.within_quota,
-            (lost_s + constants.RESTART_S) * share,
+            (lost_s + constants.RESTART_COST_S) * share,
             max(1.0, spec.expected_s - ran_s),
             attempt.job.borrowed,
         )
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -11,7 +11,7 @@
 from msgspec import Struct, field
 
 from peathall import constants
-from peathall.placement.bin_packing import fits_in
+from peathall.placement.bin_packing import fitting_tasks
 from peathall.protocol.jobs import JobSpec
 
 
@@ -159,9 +159,9 @@
         """Capacity that is free or being freed."""
         return [a + b for a, b in zip(self.free, self.detail().being_freed, strict=True)]
 
-    def fits(self, spec: JobSpec) -> int:
+    def capacity_for(self, spec: JobSpec) -> int:
         """How many tasks of the job fit into the free capacity."""
-        return min(fits_in(self.free, spec), self.task_slots)
+        return min(fitting_tasks(self.free, spec), self.task_slots)
 
     def take(self, spec: JobSpec, count: int) -> None:
         """Allocate capacity for `count` tasks; a negative count frees it."""
@@ -179,7 +179,7 @@
     zone: str
 
 
-class TeamWork(Struct, frozen=True):
+class TeamWorkload(Struct, frozen=True):
     """Work of a team that is being stopped, or may be preempted for its work of higher priority."""
 
     being_freed: tuple[float, float] = (0.0, 0.0)  # CPUs and GPUs of attempts being stopped
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -108,7 +108,7 @@
     assert key(1, 0.0) < key(8, 80.0)
     assert (
         gang_starving_bonus_s(spec(gang=True, tasks=100))
-        == constants.GANG_STARVING_MOST_S
+        == constants.GANG_STARVING_MAX_S
         < constants.STARVING_S
     )
     assert gang_starving_bonus_s(spec(gang=False, tasks=100)) == 0.0
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -16,7 +16,7 @@
     MachineDetail,
     MachineView,
     MovingReplica,
-    TeamWork,
+    TeamWorkload,
     Victim,
 )
 from peathall.protocol.cloud import MachineType
@@ -316,7 +316,7 @@
     for priority, urgent, started in ((2, False, 8), (3, False, 16), (2, True, 20)):
         views = [machine(f"m-{i}", (4.0, 0.0, 80.0)) for i in range(5)]
         job = JobView(spec(tasks=20, priority=priority), 20, urgent=urgent)
-        current = Round(views, TEAMS, {}, gang_shapes=[shape], lowest_priority=-1)
+        current = Round(views, TEAMS, {}, recent_gangs=[shape], lowest_priority=-1)
         for _ in current.run([job]):
             pass
         assert sum(start.count for start in current.plan.assignments) == started
@@ -354,12 +354,14 @@
     """A round in which so many of the 8 GPUs of the team's limit are in use."""
     views = [machine("m-0", (64.0, free_gpus, 64.0)), machine("m-1", (64.0, 0.0, 64.0))]
 
-    def team_work(team: str, priority: int) -> TeamWork:
+    def team_workload(team: str, priority: int) -> TeamWorkload:
         assert team == "t"
-        return TeamWork((0.0, leaving), [u for u in units if u[0].priority > priority])
+        return TeamWorkload((0.0, leaving), [u for u in units if u[0].priority > priority])
 
     teams = {"t": Team("t", gpus_max=8.0)}
-    current = Round(views, teams, {"t": [8.0, used]}, lowest_priority=3, team_work=team_work)
+    current = Round(
+        views, teams, {"t": [8.0, used]}, lowest_priority=3, team_workload=team_workload
+    )
     for _ in current.run([job, *others]):
         pass
     return current.plan
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -14,7 +14,7 @@
 from peathall.config.platform import StateSettings
 from peathall.leadership.lease import first_attempt
 from peathall.placement.plan import Assignment, Plan
-from peathall.placement.rounds import ROUND, RoundRecords, from_record
+from peathall.placement.rounds import ROUND_PREFIX, RoundRecords, from_record
 from peathall.protocol.codec import json_size
 from peathall.protocol.state_service import KeyValue
 from peathall.store.errors import InvalidTransactionError
@@ -30,7 +30,9 @@
 def items(store: FakeStore) -> list[KeyValue]:
     """The records of rounds that are stored."""
     return [
-        KeyValue(key, value, at) for key, (value, at) in store.data.items() if key.startswith(ROUND)
+        KeyValue(key, value, at)
+        for key, (value, at) in store.data.items()
+        if key.startswith(ROUND_PREFIX)
     ]
 
 
@@ -103,7 +105,7 @@
         await settle()
         for attempt in part.attempts[1:]:
             cluster.release(attempt, 1.0)
-        compaction = rounds.compaction_of(part.key, 100.0)
+        compaction = rounds.compaction_mutation(part.key, 100.0)
         assert compaction is not None
         cluster.release(job.attempts[0], 101.0)
         await settle()
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -504,7 +504,7 @@
                 (0, FIRST, "m-1"), (1, FIRST, "m-1"), (2, FIRST, "m-1"), (3, FIRST, "m-2"),
             ]  # fmt: skip
             jobs.cluster.release_all(jobs.cluster.machines["m-1"], 0.0)
-            rounds.compact(constants.ROUND_COMPACT_S + 1.0)
+            rounds.compact(constants.ROUND_COMPACT_AGE_S + 1.0)
             await store.next_write(ROUND_KEY)
 
     assert_written(play(test), {ROUND_KEY: [ROUND_COMPACTED]})
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -390,7 +390,7 @@
         machine = workers.cluster.machines["m-1"]
         job = workers.cluster.jobs["j-123456"] = Job(spec(id="j-123456", tasks=9999, cpus=0.001))
         view = MachineView("m-1", "g", "a", False, (8.0, 0.0, 16.0), (8.0, 0.0, 16.0))
-        assert view.fits(spec(tasks=9999, cpus=0.001, ram=0.0)) == constants.MACHINE_TASKS
+        assert view.capacity_for(spec(tasks=9999, cpus=0.001, ram=0.0)) == constants.MACHINE_TASKS
         number = workers.cluster.new_attempt_number()
         for task in range(9000, 9000 + constants.MACHINE_TASKS + 50):
             workers.cluster.allocate(job, task, number, machine, "r").enter(
