--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -27,31 +27,31 @@
 QUERY_QUEUE_S = 1.2  # a user waits 2 s for the response to a poll
 
 # --- state service ------------------------------------------------------------------------------
-STORE_TIMEOUT_S = 1.5  # responses take 10 ms, occasionally a few hundred
-# Part of the request burst that reads leave to commits: without it, polls that cost reads once
-# starved all commits.
+STORE_TIMEOUT_S = 1.5  # responses take 10 ms, occasionally several hundred
+# Share of the request burst that reads leave to commits: without it, polls that each cost a read
+# can starve all commits.
 READ_RATE_RESERVE = 0.25
 STORE_RETRY_S = 0.25  # pause after 429, 503 or no response, so that an outage costs few requests
 LEADER_RPS_SHARE = 0.4  # of the request rate; the followers' watches and reads share the rest
-LEADER_WRITE_SHARE = 0.75  # of the write rate; the followers' writes without a leader, the rest
-REMEMBERED_JOBS = 20_000  # jobs whose final status is cached, some 300 bytes each
-DEFERRED_POLL_S = 0.25  # between looks at the write rate for what deferred writes may use
-# Deferred writes with a bounded wait are written after this, spare rate or not: workers report an
-# exited task until its end is stored, and the size of a heartbeat is limited.
+LEADER_WRITE_SHARE = 0.75  # of the write rate; followers share the rest, for times without a leader
+REMEMBERED_JOBS = 20_000  # archived jobs with a cached final status; about 300 bytes each
+DEFERRED_POLL_S = 0.25  # interval at which deferred writes check for spare write rate
+# Longest wait of a bounded deferred write, even without spare write rate: workers report an exited
+# task until its outcome is stored, and the size of a heartbeat is limited.
 DEFERRED_MAX_WAIT_S = 3.0
-# Jobs of one record that are archived in one mutation: with the record's new state no more
-# operations than a busy store has to spare.
+# Jobs of one record that are archived in one mutation. With the rewrite of the record, this needs
+# no more operations than the write rate of a busy state service has to spare.
 ARCHIVE_AT_ONCE = 3
-WATCH_HOLD_S = 6.0  # a watch across a silent partition is noticed after this plus the timeout
-VALUE_FILL = 0.85  # of value_kb is used, since the limit counts another encoding than ours
-# Operations of the largest indivisible transaction: a job's final status, the record without the
-# job, and the record in which another controller accepted it.
+WATCH_HOLD_S = 6.0  # a silent partition breaks a watch after this plus STORE_TIMEOUT_S
+VALUE_FILL = 0.85  # used share of value_kb: the limit counts values as JSON, which are sent as CBOR
+# Operations of the largest indivisible transaction, which archives a job: it writes the final
+# status, rewrites the job's record, and deletes a second record written by another controller.
 MIN_TRANSACTION_OPS = 3
-# Refusals of one transaction for its rate, STORE_RETRY_S apart. A full burst is saved up within a
-# second, so one that is refused for longer has more operations than the rate ever allows.
+# Rate-limit refusals of one transaction, STORE_RETRY_S apart, before it is divided. The burst
+# refills within one second, so a transaction refused for longer exceeds the burst itself.
 RATE_REFUSALS = 8
-TXN_CONDITIONS = 4  # times txn_ops: conditions of one transaction (protocol)
-TXN_BYTES = 48 * 1024  # of one transaction, kept clear of the protocol's 64 KiB
+TXN_CONDITIONS = 4  # limit on the conditions of one transaction, as a multiple of txn_ops
+TXN_BYTES = 48 * 1024  # of one transaction, with a margin below the protocol's 64 KiB
 
 # --- leadership ---------------------------------------------------------------------------------
 LEADER_LEASE_TTL_S = 3.0  # failover waits this long; one slow renewal must not lose leadership
--- a/peathall/jobs/__init__.py
+++ b/peathall/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Package `jobs`: accepting, querying and cancelling jobs, and their records."""
+"""Accepts, queries and cancels jobs, and stores their records in the state service."""
--- a/peathall/jobs/admission.py
+++ b/peathall/jobs/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a submitted job could ever run on this platform."""
+"""Admission: checks whether a submitted job could ever run on this platform."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from peathall.protocol.cloud import MachineType
 from peathall.protocol.jobs import JobSpec
 
-QUOTA_TOLERANCE = 1e-6  # CPUs or GPUs: sums of fractions are not exact
+QUOTA_TOLERANCE = 1e-6  # CPUs or GPUs, for rounding errors in sums of fractions
 
 
 def rejection_reason(spec: JobSpec, types: Mapping[str, MachineType], params: Params) -> str | None:
-    """Why the job can never run, as its user is told; None if it can.
+    """Reason why the job can never run, as sent to its user; None if it can run.
 
-    `types` are the machine types by name; with none of them known, every job is rejected, so
-    callers must wait until the types are known.
+    `types` are the machine types by name. If it is empty, every job is rejected, so callers must
+    wait until the machine types are known.
     """
     team = next((team for team in params.teams if team.name == spec.team), None)
     if team is None:
@@ -31,7 +31,7 @@
 
 
 def _exceeds_quota(spec: JobSpec, team: Team) -> bool:
-    # Independent tasks can run one after another; those of a gang and replicas run together.
+    # Independent tasks can run one after another; gang tasks and daemon replicas run at once.
     concurrent_tasks = spec.tasks if _runs_together(spec) else 1
     return any(
         limit and per_task * concurrent_tasks > limit + QUOTA_TOLERANCE
@@ -40,7 +40,7 @@
 
 
 def _fits(spec: JobSpec, machine_type: MachineType) -> bool:
-    """Whether the job allows the machine type, and one of its tasks fits an empty machine."""
+    """Whether the job allows this machine type and one task fits an empty machine of it."""
     return (
         (spec.types is None or machine_type.name in spec.types)
         and (spec.zone is None or spec.zone in machine_type.zones)
@@ -51,7 +51,7 @@
 
 
 def _spread_is_impossible(spec: JobSpec, allowed: Iterable[MachineType]) -> bool:
-    """A spread job needs two zones, since at most half of its tasks may share one."""
+    """Whether a spread job has fewer than two zones: at most half of its tasks may share one."""
     if not (_runs_together(spec) and spec.spread and spec.tasks > 1):
         return False
     zones = {
--- a/peathall/jobs/background.py
+++ b/peathall/jobs/background.py
@@ -1,4 +1,4 @@
-"""Owner of asyncio tasks that no caller awaits."""
+"""Runs asyncio tasks that no caller awaits."""
 
 from __future__ import annotations
 
@@ -13,14 +13,15 @@
 
 
 class BackgroundTasks:
-    """The asyncio tasks of one term: failures are logged, and `close` cancels what is left."""
+    """The background asyncio tasks of one term. Failures are logged; `close` cancels unfinished
+    tasks."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def busy(self) -> bool:
-        """Whether any of the tasks is not finished."""
+        """Whether any task is unfinished."""
         return bool(self._tasks)
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
@@ -33,11 +34,11 @@
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             error = task.exception()
-            # Losing the leadership fails whatever was still to be written, which is no fault.
+            # Loss of leadership fails all pending writes; that is expected.
             if not isinstance(error, LeadershipLostError):
-                log.error("background work %r failed", task.get_coro(), exc_info=error)
+                log.error("background task %r failed", task.get_coro(), exc_info=error)
 
     def close(self) -> None:
-        """Cancel the tasks that are left."""
+        """Cancel all unfinished tasks."""
         for task in list(self._tasks):
             task.cancel()
--- a/peathall/jobs/cancellation.py
+++ b/peathall/jobs/cancellation.py
@@ -1,4 +1,4 @@
-"""Cancellations at the leader."""
+"""Handles cancellations at the leader."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class JobCancellation:
-    """Cancels jobs: idempotently, and answered only once the cancellation is stored."""
+    """Cancels jobs idempotently, and responds only once the cancellation is stored."""
 
     def __init__(
         self,
@@ -32,10 +32,10 @@
         self.remote = remote
 
     async def cancel(self, job_id: str) -> JobResponse:
-        """The response to the user's request.
+        """Cancel the job and return the response to the user.
 
-        Raises StoreError and LeadershipLostError: whether the cancellation is stored is then
-        unknown.
+        Raises StoreError or LeadershipLostError if it is unknown whether the cancellation is
+        stored.
         """
         if job_id not in self.cluster.jobs:
             known = await self.lookup.find(job_id)
@@ -44,22 +44,22 @@
             if job_id not in self.cluster.jobs:
                 return known  # archived
         job = self.cluster.jobs[job_id]
-        await self.finish(job)
+        await self.stop_and_store(job)
         return current_status(job) if job.is_final else RETRY_LATER
 
-    async def finish(self, job: Job) -> None:
+    async def stop_and_store(self, job: Job) -> None:
         """Stop the job's tasks and store the cancellation.
 
-        Returns without that as long as another cell may run a task for longer than a cancellation
-        may take; the caller tries again, every second.
+        Returns without storing it while another cell may run a task for longer than a cancellation
+        may take; `Jobs.review` tries again every second.
         """
         while not job.is_final:
             if job.finalizing is not None:
                 await asyncio.wait([job.finalizing])
                 continue
-            # The tasks are stopped before the write is answered. The answer may be lost while
-            # another controller reads the cancellation and answers the user; and heartbeats that
-            # are answered without the stop command prolong the workers' leases.
+            # The tasks are stopped before the write is confirmed. The response to the write may be
+            # lost while another controller reads the stored cancellation and confirms it to the
+            # user; and each heartbeat response without the stop command extends a worker's lease.
             job.enter(JobPhase.CANCELLING)
             self.listener.stop_all(job)
             if not self.remote.may_confirm_cancel(job):
--- a/peathall/jobs/completion.py
+++ b/peathall/jobs/completion.py
@@ -1,4 +1,4 @@
-"""Done tasks: stored as they are reported, and the job's completion with the last of them."""
+"""Stores done tasks as they are reported, and the job's completion once all are done."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class JobCompletion:
-    """Stores which tasks are done. Users learn of a done task only once it is stored."""
+    """Stores which tasks are done. Users see a task as done only once that is stored."""
 
     def __init__(
         self,
@@ -39,7 +39,8 @@
         self.block_size = records.block_tasks(writer.limits.value_kb)  # tasks of one record
 
     def note_done(self, job: Job) -> None:
-        """Tasks of the job were reported done: store that, and its completion with the last."""
+        """Store the tasks of the job that were reported done, or the job's completion if all are
+        done."""
         if job.write_pending or job.phase is not JobPhase.ACTIVE:
             return
         if len(job.done) < job.spec.tasks:
@@ -50,9 +51,9 @@
             self.remote.finish_borrowed(job)
         else:
             job.write_pending = True
-            self.background.spawn(self._complete(job))
+            self.background.spawn(self._store_completion(job))
 
-    async def _complete(self, job: Job) -> None:
+    async def _store_completion(self, job: Job) -> None:
         try:
             while job.phase is JobPhase.ACTIVE:
                 if job.finalizing is not None:
@@ -61,22 +62,22 @@
                     await self.final_statuses.store(job, JobStatus.DONE)
         finally:
             job.write_pending = False
-        self.archive.archive_if_over(job)
+        self.archive.archive_if_possible(job)
 
     def _make_mutation(self, job: Job) -> Mutation | None:
-        """Write the first block with a done task that is not stored; the others follow, one by
-        one."""
+        """Mutation that writes the first block with an unstored done task; None if there is none.
+        `_mark_stored` schedules the next block."""
         task = job.done.first_outside(job.stored_done)
-        is_live = self.cluster.jobs.get(job.spec.id) is job  # a borrowed job may be over
+        is_live = self.cluster.jobs.get(job.spec.id) is job  # a borrowed job may have ended
         if task is None or not is_live or job.phase is not JobPhase.ACTIVE:
             return None
         block = task // self.block_size
         record = records.done_record(job.done, block, self.block_size)
         key = records.done_key(job.spec.id, block, self.block_size)
         mutation = Mutation({}, [Put(key, struct_to_builtins(record))])
-        return mutation.then(lambda: self._stored(job, key, record))
+        return mutation.then(lambda: self._mark_stored(job, key, record))
 
-    def _stored(self, job: Job, key: str, record: records.DoneRecord) -> None:
+    def _mark_stored(self, job: Job, key: str, record: records.DoneRecord) -> None:
         job.done_keys.add(key)
         for low, high in record.done:
             job.stored_done.add(low, high)
--- a/peathall/jobs/duplicates.py
+++ b/peathall/jobs/duplicates.py
@@ -1,7 +1,7 @@
-"""Removing jobs from the second of two records that hold them.
+"""Removes a job from one of two records that contain it.
 
-A job is in two records if the leader accepted it and, while no response of the leader got
-through, another controller as well; or while a record that is too large is being divided.
+A job is in two records if the leader accepted it and, while the leader's responses did not get
+through, another controller accepted it as well; or while an oversized record is being divided.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class DuplicateRemoval:
-    """Writes records without the jobs that another record holds."""
+    """Rewrites records without the jobs that are also in another record."""
 
     def __init__(
         self,
@@ -32,22 +32,23 @@
         self.cluster = cluster
         self.index = index
         self.cleanup = cleanup
-        self.value_limit = value_limit  # bytes of a record, as `json_size` counts them
-        self.on_removed = on_removed  # called for a job that only one record holds now
+        self.value_limit = value_limit  # bytes per record, as counted by `json_size`
+        self.on_removed = on_removed  # called with each job that is now in one record only
 
     def schedule(self, record_key: str) -> None:
-        """Write the record without its duplicates, or delete it, once the rate limit allows."""
+        """Rewrite the record without its duplicates, or delete it if no job is left, once the
+        rate limit has spare capacity."""
         self.cleanup.defer(f"duplicate {record_key}", lambda: self._make_mutation(record_key))
 
     def _make_mutation(self, record_key: str) -> Mutation | None:
         if record_key in self.index.archiving:
-            return None  # scheduled again once that write has ended
+            return None  # JobArchive schedules the removal again after its write
         held = self.index.jobs_by_record.get(record_key, ())
         operation = rewrite_or_delete(
             record_key, [self.cluster.jobs[job_id].spec for job_id in held]
         )
         if isinstance(operation, Put) and json_size(operation.value) > self.value_limit:
-            return None  # scheduled again once one of its jobs is archived
+            return None  # scheduled again once a job of the record is archived
         return Mutation({}, [operation]).then(lambda: self._removed(record_key))
 
     def _removed(self, record_key: str) -> None:
--- a/peathall/jobs/external.py
+++ b/peathall/jobs/external.py
@@ -1,4 +1,4 @@
-"""Jobs that other controllers accepted while they could not reach the leader."""
+"""Finds jobs that other controllers accepted while they could not reach the leader."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class ExternalJobs:
-    """Follows the records that only other controllers write, by a watch and on demand."""
+    """Reads the job records that other controllers write, through a watch and on demand."""
 
     def __init__(
         self, cluster: ClusterState, store: StoreClient, writer: Writer, registry: JobRegistry
@@ -28,31 +28,33 @@
         self.store = store
         self.writer = writer
         self.registry = registry
-        self.revision = 0  # revision up to which the records are known
+        self.revision = 0  # state service revision up to which the records were read
         self._reading = SingleFlightRead(self._read)
 
     def start_at(self, revision: int) -> None:
-        """All records up to this revision have been loaded."""
+        """Read only changes after this revision: all earlier records have been loaded."""
         self.revision = revision
 
-    async def follow(self) -> None:
-        """Register external jobs as they are stored, until cancelled."""
+    async def watch_until_cancelled(self) -> None:
+        """Watch for external jobs and register them as they are stored, until cancelled."""
         while True:
             try:
                 await self._register(await self.store.watch(records.JOB, self.revision))
             except StoreError as exc:
-                log.debug("watching the records of external jobs failed: %s", exc)
+                log.debug("watch for jobs of other controllers failed, will be retried: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
     async def refresh(self) -> None:
-        """Register all external jobs that were stored before this call; StoreError on failure."""
+        """Register all external jobs that were stored before this call; raises StoreError on
+        failure."""
         await self._reading.refresh()
 
     async def _read(self) -> None:
         await self._register(await self.store.changes_since(records.JOB, self.revision))
 
     async def _register(self, changes: tuple[int, list[WatchEvent]] | None) -> None:
-        """Apply the result of a watch; None if the service no longer knows that far back."""
+        """Register the jobs in the result of a watch. If that is None, the state service no longer
+        has all changes since the last revision, and all records are scanned."""
         if changes is None:
             items, self.revision = await self.store.scan(records.JOB)
         else:
@@ -64,8 +66,8 @@
             ]
             self.revision = max(self.revision, revision)
         for item in items:
-            # The writer of the record made it conditional on the job not being archived, and
-            # only this leader archives jobs.
+            # The record was written on condition that the job was not archived, and only this
+            # leader archives jobs: a job archived since then is in `archived`.
             if item.key.removeprefix(records.JOB) not in self.cluster.archived:
                 self.writer.versions[item.key] = item.version
                 self.registry.register(item.value, item.key)
--- a/peathall/jobs/final_status.py
+++ b/peathall/jobs/final_status.py
@@ -1,4 +1,4 @@
-"""Final statuses of jobs: stored before anyone learns of them."""
+"""Stores final statuses of jobs before they are visible to anyone."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FinalStatuses:
-    """Writes final statuses and applies them to jobs."""
+    """Stores final statuses and applies them to jobs."""
 
     def __init__(
         self, shared_records: SharedRecordWriter, archive: JobArchive, listener: JobListener
@@ -28,8 +28,8 @@
     async def store(self, job: Job, status: JobStatus) -> None:
         """Store the final status, DONE or CANCELLED, and apply it once it is stored.
 
-        While that is under way, `job.finalizing` is the future of the write. Raises what failed
-        the write, LeadershipLostError for example; the job then keeps its phase.
+        During the write, `job.finalizing` is its future. Raises the error of a failed write, such
+        as LeadershipLostError; the job then keeps its phase.
         """
         entry = records.FinalStatusEntry(job.spec.id, status, len(job.done))
         job.finalizing = self.shared_records.add(struct_to_builtins(entry))
@@ -38,12 +38,12 @@
         finally:
             job.finalizing = None
         self.apply(job, status, record_key)
-        log.info("job %s is %s: its final status is stored", job.spec.id, status.name.lower())
-        self.archive.archive_if_over(job)
+        log.info("job %s: final status %s stored", job.spec.id, status.name.lower())
+        self.archive.archive_if_possible(job)
         self.listener.state_changed()
 
     def apply(self, job: Job, status: JobStatus, record_key: str) -> None:
-        """The record of this key holds the job's final status."""
+        """Apply a final status that is stored in the record with this key."""
         if status is JobStatus.DONE:
             job.mark_all_done()
             job.enter(JobPhase.DONE)
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -1,7 +1,7 @@
-"""Users' requests at a controller that can't reach the leader: answered from the state service.
+"""Handles users' requests, through the state service, at a controller that can't reach the leader.
 
-A submission creates a record only if there is none, and a query only reads, so both are safe
-whatever a leader does meanwhile. A cancellation has to wait for a leader, since a leader answers
+A submission creates a record only if none exists, and a query only reads, so both are safe
+whatever a leader does concurrently. A cancellation has to wait for a leader, since a leader answers
 queries from memory.
 """
 
@@ -24,24 +24,24 @@
 
 
 class FollowerService:
-    """Answers submissions and queries. All users may poll here while the leader is unreachable,
-    so as few requests as possible go to the state service: one read brings the live jobs up to
-    date for all queries that wait for it, and final statuses, which never change, are cached."""
+    """Answers submissions and queries. While the leader is unreachable all users may poll here,
+    so requests to the state service are kept few: one read updates the live jobs for all waiting
+    queries, and final statuses, which never change, are cached."""
 
     def __init__(self, store: StoreClient, params: Params, cells: bool = False) -> None:
-        self.cells = cells  # whether the state service may hold borrowed jobs too
+        self.cells = cells  # whether there may be borrowed jobs in the state service
         self.store = store
         self.params = params
         self.live = LiveJobIndex(store)
         self.types: dict[str, MachineType] = {}
-        self._final_responses: OrderedDict[str, JobResponse] = OrderedDict()  # the latest last
+        self._final_responses: OrderedDict[str, JobResponse] = OrderedDict()  # oldest first
 
     def set_types(self, types: Iterable[MachineType]) -> None:
-        """All machine types; submissions are deferred until they are known."""
+        """Set all machine types; until then, new jobs are answered with RETRY_LATER."""
         self.types = {machine_type.name: machine_type for machine_type in types}
 
     async def query(self, job_id: str) -> JobResponse:
-        """The response to a query; StoreError on failure."""
+        """The response to a query; raises StoreError on failure."""
         final = self._final_responses.get(job_id)
         if final is not None:
             return final
@@ -49,9 +49,9 @@
         return await self._find(job_id) or NOT_FOUND
 
     async def accept(self, spec: JobSpec) -> JobResponse:
-        """Store the job unless it is known; the response to its user.
+        """Store the job unless it is known, and return the response to the user.
 
-        Raises StoreError: whether the job is stored is then unknown.
+        Raises StoreError if it is unknown whether the job is stored.
         """
         final = self._final_responses.get(spec.id)
         if final is not None:
@@ -67,11 +67,12 @@
                 await self._create(spec)
                 return responses.accepted(spec.id)
             except ConflictError:
-                await self.live.refresh()  # accepted before, perhaps archived already
+                await self.live.refresh()  # accepted earlier, perhaps already archived
         return await self._find(spec.id) or RETRY_LATER
 
     async def _create(self, spec: JobSpec) -> None:
-        """Store the job; ConflictError if it is live, archived or borrowed."""
+        """Store the job; raises ConflictError if it was accepted by a follower, archived or
+        borrowed."""
         prefixes = [records.JOB, records.PAST, *([records.BORROWED] if self.cells else [])]
         await self.store.commit(
             {prefix + spec.id: 0 for prefix in prefixes},
@@ -82,8 +83,8 @@
         """The job's status from the live jobs as last read, or else from the archive; None if it
         is in neither.
 
-        A job is archived and removed from the live jobs in one transaction, so what is not live is
-        archived, unless it was never accepted.
+        One transaction archives a job and removes it from the live jobs, so an accepted job that is
+        not live is archived.
         """
         if job_id in self.live.record_counts:
             final = self.live.final_statuses.get(job_id)
@@ -93,7 +94,7 @@
         archived = await self.store.get(records.PAST + job_id)
         if archived is None:
             borrowed = self.cells and await self.store.get(records.BORROWED + job_id) is not None
-            return RETRY_LATER if borrowed else None  # only a leader can ask the job's home
+            return RETRY_LATER if borrowed else None  # only a leader can ask the job's home cell
         return self._cache_final(job_id, records.read_final(archived.value))
 
     def _cache_final(self, job_id: str, final: records.FinalRecord) -> JobResponse:
--- a/peathall/jobs/jobs.py
+++ b/peathall/jobs/jobs.py
@@ -1,4 +1,4 @@
-"""The leader's jobs: the parts of the package, wired together for one term."""
+"""The leader's jobs: wires the components of the package together for one term."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
         cleanup: DeferredWriter | None = None,
         remote: RemoteJobs | None = None,
     ) -> None:
-        """Without `cleanup` the writer deletes old records; without `remote` no job runs in
-        another cell."""
+        """Without `cleanup`, the writer archives jobs and deletes old records; without `remote`,
+        there are no other cells."""
         self.cluster = cluster
         self.store = store
         self.writer = writer
@@ -77,17 +77,19 @@
 
     # --- after a failover ----------------------------------------------------
     def load(self, live: list[KeyValue], done: list[KeyValue], revision: int) -> None:
-        """Rebuild all jobs from the records below records.LIVE and records.DONE; the former were
-        read at this revision or later."""
+        """Rebuild all jobs from the records below records.LIVE (`live`) and records.DONE (`done`).
+        The live records were read at `revision` or later."""
         self._external.start_at(revision)
         self._recovery.load(live, done)
 
     def register(self, record: dict[str, Any], record_key: str) -> Job:
-        """The job of a stored record, whichever controller wrote it; made known if it is new."""
+        """Return the job of a stored record, whichever controller wrote it; a job that is not
+        known yet is added."""
         return self._registry.register(record, record_key)
 
     def resume_unfinished(self) -> None:
-        """After everything is loaded: carry on with what an earlier leader had begun."""
+        """Once all jobs are loaded, continue completions, cancellations and archiving that an
+        earlier leader left unfinished."""
         for job in list(self.cluster.jobs.values()):
             if job.phase is JobPhase.ACTIVE:
                 if len(job.done) >= job.spec.tasks:
@@ -95,51 +97,55 @@
             else:
                 if job.phase is JobPhase.CANCELLED:
                     self.listener.stop_all(job)
-                self.archive.archive_if_over(job)
+                self.archive.archive_if_possible(job)
 
     # --- requests of users ---------------------------------------------------
     async def accept(self, spec: JobSpec) -> JobResponse:
-        """A submission; answered once the job is stored. Raises what fails the write."""
+        """Accept a submission; returns once the job is stored. Raises the error of a failed
+        write."""
         return await self._submission.accept(spec)
 
     def cached_response(self, job_id: str) -> JobResponse | None:
-        """The response to a query if no wait is needed, as for nearly all queries."""
+        """The response to a query from memory, as for nearly all queries; None if the job is not
+        in memory or its final status is being written."""
         job = self.cluster.jobs.get(job_id)
         return current_status(job) if job is not None and job.finalizing is None else None
 
     async def query(self, job_id: str) -> JobResponse:
-        """The response to any other query. Raises what fails a read."""
+        """The response to a query that `cached_response` can't answer. Raises the error of a
+        failed read."""
         return await self._lookup.query(job_id)
 
     async def cancel(self, job_id: str) -> JobResponse:
-        """A cancellation; answered once it is stored. Raises what fails the write."""
+        """Cancel a job; returns once the cancellation is stored, or with RETRY_LATER while another
+        cell may still run tasks of it. Raises the error of a failed write."""
         return await self._cancellation.cancel(job_id)
 
     def knows(self, job_id: str) -> bool:
-        """Whether a user of this cell has submitted a job of that name, from memory alone."""
+        """Whether, as far as memory shows, a user of this cell has submitted a job with this id."""
         return self._lookup.knows(job_id)
 
     # --- during the term -----------------------------------------------------
     def note_done(self, job: Job) -> None:
-        """Tasks of the job were reported done: store that."""
+        """Store the tasks of the job that were reported done."""
         self._completion.note_done(job)
 
     def review(self, job: Job) -> None:
-        """Called every second: try again to store a final status that could not be stored."""
+        """Retry storing the job's final status or archiving the job; called every second."""
         if job.is_final:
-            self.archive.archive_if_over(job)
+            self.archive.archive_if_possible(job)
         elif job.phase is JobPhase.CANCELLING:
             if job.finalizing is None:
-                self.background.spawn(self._cancellation.finish(job))
+                self.background.spawn(self._cancellation.stop_and_store(job))
         elif len(job.done) >= job.spec.tasks:
             self.note_done(job)
 
     async def follow(self) -> None:
-        """Register jobs that other controllers accept, until cancelled."""
-        await self._external.follow()
+        """Watch for jobs that other controllers accept and register them, until cancelled."""
+        await self._external.watch_until_cancelled()
 
     def close(self) -> None:
-        """The term is over: what waits for a write is given up."""
+        """End of the term: cancel pending writes and background tasks."""
         self._job_records.close()
         self._final_records.close()
         self.background.close()
--- a/peathall/jobs/listener.py
+++ b/peathall/jobs/listener.py
@@ -1,4 +1,4 @@
-"""What the jobs of a leader cause in the rest of it."""
+"""Interface through which the leader's jobs notify placement and the workers."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class JobListener(Protocol):
-    """Placement and the workers, as far as jobs affect them."""
+    """Receives the changes of jobs that affect placement and the workers."""
 
     def state_changed(self) -> None:
-        """A job was accepted or is over: placement has to run again."""
+        """A job was accepted or reached a final status: placement has to run again."""
 
     def stop_all(self, job: Job) -> None:
-        """The job is being cancelled: stop its attempts and refuse starts under way."""
+        """The job is being cancelled: stop its attempts, and refuse starts that are in
+        progress."""
--- a/peathall/jobs/live_index.py
+++ b/peathall/jobs/live_index.py
@@ -1,7 +1,7 @@
 """A follower's cache of the records of live jobs.
 
-It is filled when it is first needed, and from then on brought up to date by the changes since: one
-request reads all of them, for everyone who waits.
+The first use scans all records. Each later refresh reads only the changes since the previous one,
+in one request that serves all waiting callers.
 """
 
 from __future__ import annotations
@@ -14,20 +14,19 @@
 
 
 class LiveJobIndex:
-    """Which jobs are live, and the final statuses of those that are not archived yet."""
+    """Ids of the live jobs, and the final statuses of those that are not archived yet."""
 
     def __init__(self, store: StoreClient) -> None:
         self.store = store
-        self.record_counts: dict[str, int] = {}  # job id -> number of records that hold the job
+        self.record_counts: dict[str, int] = {}  # job id -> number of records with the job
         self.final_statuses: dict[str, records.FinalRecord] = {}  # by job id
-        self._revision: int | None = None  # of the cached records; None: they have to be scanned
+        self._revision: int | None = None  # of the cached records; None: a scan is needed
         self._jobs_by_record: dict[str, list[str]] = {}  # record key -> job ids
-        self._jobs_by_final_record: dict[str, list[str]] = {}  # the same for final statuses
+        self._jobs_by_final_record: dict[str, list[str]] = {}  # likewise, for final statuses
         self._reading = SingleFlightRead(self._read)
 
     async def refresh(self) -> None:
-        """Bring the index up to date with all that was stored before this call; StoreError on
-        failure."""
+        """Apply everything that was stored before this call; raises StoreError on failure."""
         await self._reading.refresh()
 
     async def _read(self) -> None:
@@ -36,8 +35,8 @@
             self._clear()
             for item in items:
                 self._apply(item.key, item.value)
-            # The pages of a scan may be of different revisions: apply what has changed since the
-            # first of them.
+            # The pages of a scan may be read at different revisions, so the changes since the
+            # first page are applied as well.
             await self._apply_changes(revision)
 
     def _clear(self) -> None:
@@ -48,7 +47,8 @@
         self._jobs_by_final_record = {}
 
     async def _apply_changes(self, revision: int) -> bool:
-        """Apply what changed after the revision; False if the service no longer knows that."""
+        """Apply the changes after the revision; returns False if the state service no longer
+        has all of them."""
         changes = await self.store.changes_since(records.LIVE, revision)
         if changes is None:
             return False
@@ -58,7 +58,7 @@
         return True
 
     def _apply(self, key: str, value: Any) -> None:
-        """The record has this value now; None if it is deleted."""
+        """Apply the new value of a record; None: the record was deleted."""
         if key.startswith(records.ENDS):
             self._apply_final_statuses(key, value)
         else:
--- a/peathall/jobs/lookup.py
+++ b/peathall/jobs/lookup.py
@@ -1,4 +1,4 @@
-"""What the leader knows of a job: from memory, or else from the state service."""
+"""Looks up jobs at the leader, first in memory and then in the state service."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class JobLookup:
-    """Answers queries. A response never contradicts one that another controller gave earlier."""
+    """Answers queries. A response never contradicts an earlier one, even from another controller."""
 
     def __init__(self, cluster: ClusterState, store: StoreClient, external: ExternalJobs) -> None:
         self.cluster = cluster
@@ -25,7 +25,7 @@
 
     @contextmanager
     def submission_in_progress(self, job_id: str, stored: asyncio.Future[str]) -> Iterator[None]:
-        """Inside, lookups of the job wait until its record is stored."""
+        """Context in which lookups of the job wait until its record is stored."""
         self._submissions[job_id] = stored
         try:
             yield
@@ -33,28 +33,30 @@
             self._submissions.pop(job_id, None)
 
     def knows(self, job_id: str) -> bool:
-        """Whether a user of this cell has submitted a job of that name, from memory alone."""
+        """Whether, as far as memory shows, a user of this cell has submitted a job with this id."""
         job = self.cluster.jobs.get(job_id)
         submitted_here = job is not None and not job.borrowed
         return submitted_here or job_id in self._submissions or job_id in self.cluster.archived
 
     async def query(self, job_id: str) -> JobResponse:
-        """The response to a query, after writes of the job under way; StoreError on failure."""
+        """The response to a query, after waiting for writes of the job that are in progress;
+        raises StoreError on failure."""
         return await self.find(job_id) or NOT_FOUND
 
     async def find(self, job_id: str) -> JobResponse | None:
-        """The job's status from memory or else from the state service; None if there is none."""
+        """The job's status from memory or else the state service; None if neither has the job."""
         return await self.find_in_memory(job_id) or await self.find_stored(job_id)
 
     async def find_in_memory(self, job_id: str) -> JobResponse | None:
-        """The job's status once a write of it that is under way has ended; None if unknown."""
+        """The job's status after waiting for writes of the job that are in progress; None if
+        memory does not have the job."""
         stored = self._submissions.get(job_id)
         if stored is not None:
             await asyncio.wait([stored])
         job = self.cluster.jobs.get(job_id)
         if job is not None and job.finalizing is not None:
-            # The final status may be stored already, and another controller may have read it
-            # and answered its user: an older status from here would contradict that.
+            # The final status may already be stored, and another controller may have sent it to
+            # the user: an older status from memory would contradict that response.
             await asyncio.wait([job.finalizing])
             job = self.cluster.jobs.get(job_id)
         if job is not None:
@@ -65,7 +67,8 @@
         return None
 
     async def find_stored(self, job_id: str) -> JobResponse | None:
-        """The job's status as the state service has it; memory is brought up to date with it."""
+        """The job's status from the state service; memory is updated with what is read. None if
+        the job is not stored."""
         await self.external.refresh()
         known = await self.find_in_memory(job_id)
         if known is not None:
--- a/peathall/jobs/record_division.py
+++ b/peathall/jobs/record_division.py
@@ -1,7 +1,7 @@
-"""Dividing records that are larger than a value may be now.
+"""Divides records of live jobs that exceed the current value size limit.
 
-Such records were written when the limit on values was higher, and can't be written again as they
-are, not even with some jobs removed.
+Such records were written under a higher limit. They can't be rewritten, not even with some jobs
+removed, until the rest fits the current limit.
 """
 
 from __future__ import annotations
@@ -16,10 +16,10 @@
 
 
 class RecordDivision:
-    """Moves jobs out of a record until the rest of it can be written.
+    """Moves jobs from an oversized record to new records until the rest fits the limit.
 
-    The moved jobs are stored in new records first, and only then is the old one written without
-    them: meanwhile two records hold them, but at no time none.
+    The new records are stored first; only then is the old record rewritten without the moved
+    jobs. In between, the jobs are in two records, but they are never in none.
     """
 
     def __init__(
@@ -34,10 +34,10 @@
         self.shared_records = shared_records
         self.duplicate_removal = duplicate_removal
         self.background = background
-        self.value_limit = value_limit  # bytes of a record, as `json_size` counts them
+        self.value_limit = value_limit  # bytes per record, as counted by `json_size`
 
     def start(self, record_key: str, jobs: list[Job]) -> None:
-        """Divide the record, which holds these jobs, unless that is under way."""
+        """Divide the record, which contains these jobs, unless it is being divided already."""
         if record_key in self.index.dividing:
             return
         self.index.dividing.add(record_key)
@@ -46,7 +46,7 @@
     def _jobs_to_move(self, jobs: list[Job]) -> list[Job]:
         limit = self.value_limit - json_size({"jobs": []})
         sizes = [json_size(spec_to_record(job.spec)) + 1 for job in jobs]
-        # A job that fits into no record stays where it is until it is archived.
+        # A job that is too large for any record stays in this one until it is archived.
         left = limit - sum(size for size in sizes if size > limit)
         moving = []
         for job, size in zip(jobs, sizes, strict=True):
--- a/peathall/jobs/recovery.py
+++ b/peathall/jobs/recovery.py
@@ -1,4 +1,4 @@
-"""Loading the stored jobs after a failover."""
+"""Loads the stored jobs after a failover."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class JobRecovery:
-    """Rebuilds a new leader's jobs from the records that earlier leaders left."""
+    """Rebuilds a new leader's jobs from the records in the state service."""
 
     def __init__(
         self,
@@ -38,8 +38,8 @@
         """
         for item in live:
             self.writer.versions[item.key] = item.version
-        # Jobs before their final statuses, and shared records before records of a single job:
-        # of two records that hold a job, the shared one is kept.
+        # Jobs are loaded before their final statuses. Shared records are loaded before single-job
+        # records: of two records that contain a job, the shared one is kept.
         for item in live:
             if item.key.startswith(records.JOBS):
                 for record in item.value["jobs"]:
--- a/peathall/jobs/registry.py
+++ b/peathall/jobs/registry.py
@@ -1,4 +1,4 @@
-"""Jobs that the leader learns of from their stored records."""
+"""Registers jobs with the leader from their stored records."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class JobRegistry:
-    """Adds stored jobs to the cluster state, once each, however many records hold them."""
+    """Adds stored jobs to the cluster state, each job once even if several records contain it."""
 
     def __init__(
         self,
@@ -26,10 +26,11 @@
         self.cluster = cluster
         self.archive = archive
         self.listener = listener
-        self.wall = wall  # time of day in seconds, as in `JobSpec.submitted`
+        self.wall = wall  # wall clock: seconds, as in `JobSpec.submitted`
 
     def register(self, record: dict[str, Any], record_key: str) -> Job:
-        """The job of a stored record, whichever controller wrote it; made known if it is new."""
+        """Return the job of a stored record, whichever controller wrote it; a job that is not
+        known yet is added."""
         spec = spec_from_record(record)
         job = self.cluster.jobs.get(spec.id)
         if job is None:
--- a/peathall/jobs/remote.py
+++ b/peathall/jobs/remote.py
@@ -1,4 +1,4 @@
-"""What the jobs of this cell need to know of other cells."""
+"""Interface through which the jobs of this cell depend on other cells."""
 
 from __future__ import annotations
 
@@ -8,26 +8,24 @@
 
 
 class RemoteJobs(Protocol):
-    """Jobs that run in another cell, and jobs that are borrowed from one."""
+    """Tracks jobs that were handed off to another cell or borrowed from one."""
 
     def may_confirm_cancel(self, job: Job) -> bool:
-        """Whether all tasks of the job, in whatever cell, are stopped within `cancel_s` from now.
-
-        Asked again until it is so.
-        """
+        """Whether all tasks of the job, in every cell, are certain to stop within `cancel_s` from
+        now; called again until it returns True."""
 
     def finish_borrowed(self, job: Job) -> None:
-        """All tasks of a borrowed job are done."""
+        """Called when all tasks of a borrowed job are done."""
 
     def accept_conditions(self, job_id: str) -> dict[str, int]:
-        """Further conditions for accepting a job of this name: keys and their versions."""
+        """Further conditions for accepting a job with this id, as key -> version."""
 
 
 class NoRemoteJobs:
-    """A deployment without other cells."""
+    """RemoteJobs of a deployment without other cells."""
 
     def may_confirm_cancel(self, job: Job) -> bool:
-        """Always: all tasks of the job are in this cell."""
+        """Always true: all tasks of the job are in this cell."""
         return True
 
     def finish_borrowed(self, job: Job) -> None:
--- a/peathall/jobs/responses.py
+++ b/peathall/jobs/responses.py
@@ -1,4 +1,4 @@
-"""Answers to users' requests about jobs, before they become HTTP responses."""
+"""Responses to users' requests about jobs, independent of HTTP encoding."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from peathall.protocol.errors import encode_error
 from peathall.protocol.jobs import JobStatus, encode_job_status
 
-_OK = HTTPStatus.OK  # looking up a member of an enum is slow, and most queries need this one
+_OK = HTTPStatus.OK  # enum member lookup is slow, and most queries need this member
 
 
 class JobResponse(NamedTuple):
-    """An answer to a submission, a query or a cancellation."""
+    """Response to a submission, a query or a cancellation."""
 
-    # A member of HTTPStatus, or whatever status another controller has answered with.
+    # HTTP status code: a member of HTTPStatus, or the code that another controller responded with.
     status: int
     body: dict[str, Any] | None
 
@@ -26,12 +26,12 @@
 
 
 def found(body: dict[str, Any]) -> JobResponse:
-    """The status of a known job; `body` as `encode_job_status` makes it."""
+    """The status of a known job; `body` comes from `encode_job_status`."""
     return JobResponse(_OK, body)
 
 
 def accepted(job_id: str) -> JobResponse:
-    """The job has been stored by this request."""
+    """This request has stored the job."""
     return JobResponse(HTTPStatus.CREATED, encode_job_status(job_id, JobStatus.QUEUED))
 
 
@@ -46,7 +46,7 @@
 
 
 def current_status(job: Job) -> JobResponse:
-    """The status of a live job, with only those done tasks that are stored."""
+    """The status of a live job; only stored done tasks are counted as done."""
     done = job.spec.tasks if job.phase is JobPhase.DONE else len(job.stored_done)
     running = job.running if job.phase is JobPhase.ACTIVE else 0
     body = encode_job_status(job.spec.id, job.status, done, running)
--- a/peathall/jobs/submission.py
+++ b/peathall/jobs/submission.py
@@ -1,4 +1,4 @@
-"""Submissions at the leader."""
+"""Handles submissions at the leader."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class JobSubmission:
-    """Accepts jobs: idempotently, and answered only once they are stored."""
+    """Accepts jobs idempotently, and responds only once the job is stored."""
 
     def __init__(
         self,
@@ -35,9 +35,9 @@
         self.remote = remote
 
     async def accept(self, spec: JobSpec) -> JobResponse:
-        """Store the job unless it is known; the response to its user.
+        """Store the job unless it is known, and return the response to the user.
 
-        Raises StoreError and LeadershipLostError: whether the job is stored is then unknown.
+        Raises StoreError or LeadershipLostError if it is unknown whether the job is stored.
         """
         known = await self.lookup.find_in_memory(spec.id)
         if known is not None:
@@ -46,8 +46,8 @@
             return RETRY_LATER
         reason = rejection_reason(spec, self.cluster.types, self.params)
         if reason is not None:
-            # A repeated submission of an accepted job is answered with that job, whatever it
-            # carries now, and also if only the state service knows of the job.
+            # A repeated submission of an accepted job gets the status of that job, even if the
+            # repeated content is inadmissible or the job is known only to the state service.
             return await self.lookup.find_stored(spec.id) or responses.rejected(reason)
         record = spec_to_record(spec)
         stored = self.shared_records.add(record, self._conditions(spec.id))
@@ -55,12 +55,13 @@
             try:
                 record_key = await stored
             except ConflictError:
-                # Another controller has accepted the job, or it is archived already.
+                # Another controller has accepted the job, or the job is already archived.
                 return await self.lookup.find_stored(spec.id) or RETRY_LATER
         self.registry.register(record, record_key)
         return responses.accepted(spec.id)
 
     def _conditions(self, job_id: str) -> dict[str, int]:
-        """The job is neither archived, nor accepted by another controller, nor borrowed."""
+        """Conditions that the job is neither archived, nor accepted by another controller, nor
+        borrowed."""
         absent = {records.PAST + job_id: 0, records.JOB + job_id: 0}
         return absent | self.remote.accept_conditions(job_id)
