--- a/peathall/jobs/external.py
+++ b/peathall/jobs/external.py
@@ -31,8 +31,8 @@
         self.revision = 0  # state service revision up to which the records were read
         self._reading = SingleFlightRead(self._read)
 
-    def start_at(self, revision: int) -> None:
-        """Read only changes after this revision: all earlier records have been loaded."""
+    def start_after(self, revision: int) -> None:
+        """Read only changes after this revision: its records have been loaded."""
         self.revision = revision
 
     async def watch_until_cancelled(self) -> None:
--- a/peathall/jobs/jobs.py
+++ b/peathall/jobs/jobs.py
@@ -79,7 +79,7 @@
     def load(self, live: list[KeyValue], done: list[KeyValue], revision: int) -> None:
         """Rebuild all jobs from the records below records.LIVE (`live`) and records.DONE (`done`).
         The live records were read at `revision` or later."""
-        self._external.start_at(revision)
+        self._external.start_after(revision)
         self._recovery.load(live, done)
 
     def register(self, record: dict[str, Any], record_key: str) -> Job:
--- a/peathall/jobs/lookup.py
+++ b/peathall/jobs/lookup.py
@@ -15,7 +15,7 @@
 
 
 class JobLookup:
-    """Answers queries. A response never contradicts an earlier one, even from another controller."""
+    """Answers queries. Responses never contradict earlier ones, even of other controllers."""
 
     def __init__(self, cluster: ClusterState, store: StoreClient, external: ExternalJobs) -> None:
         self.cluster = cluster
