--- a/peathall/cells/borrowed_job.py
+++ b/peathall/cells/borrowed_job.py
@@ -7,7 +7,7 @@
 from peathall import constants
 from peathall.cells.model import BorrowedJobStatus, BorrowPhase
 from peathall.cluster.job import Job
-from peathall.jobs.records import BORROWED
+from peathall.jobs.records import BORROWED_PREFIX
 from peathall.leadership.lease import LeaderLease
 from peathall.protocol.jobs import JobSpec
 
@@ -51,7 +51,7 @@
     @property
     def key(self) -> str:
         """Key of its record."""
-        return BORROWED + self.spec.id
+        return BORROWED_PREFIX + self.spec.id
 
     def enter(self, phase: BorrowPhase) -> None:
         """The one way to change the phase; RELEASED is final."""
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -127,7 +127,10 @@
         conditions: dict[str, int] = {}
         if phase is BorrowPhase.RESERVED:
             # A job of our own users, accepted by whatever controller, is never borrowed as well.
-            conditions = {records.JOB + borrowed.spec.id: 0, records.PAST + borrowed.spec.id: 0}
+            conditions = {
+                records.SINGLE_JOB_PREFIX + borrowed.spec.id: 0,
+                records.ARCHIVE_PREFIX + borrowed.spec.id: 0,
+            }
         borrowed.storing = True
         try:
             await self.writer.submit([op], conditions)
--- a/peathall/cells/cell_leader.py
+++ b/peathall/cells/cell_leader.py
@@ -26,7 +26,7 @@
 from peathall.config.modes import Mode
 from peathall.config.platform import Params
 from peathall.jobs.jobs import Jobs
-from peathall.jobs.records import BORROWED
+from peathall.jobs.records import BORROWED_PREFIX
 from peathall.jobs.responses import RETRY_LATER, JobResponse
 from peathall.leadership.records import TERM_KEY, TermRecord
 from peathall.placement.plan import Plan
@@ -106,7 +106,7 @@
     async def read_records(store: StoreClient) -> CellRecords:
         """All records of handoffs; StoreError if they can't be read."""
         handoffs, _ = await store.scan(HANDOFF)
-        borrowed, _ = await store.scan(BORROWED)
+        borrowed, _ = await store.scan(BORROWED_PREFIX)
         return CellRecords(handoffs, borrowed)
 
     def load(self, records: CellRecords) -> None:
@@ -167,7 +167,7 @@
     @staticmethod
     def accept_conditions(job_id: str) -> dict[str, int]:
         """Conditions on which a job of that name may be accepted: it is not borrowed."""
-        return {BORROWED + job_id: 0}
+        return {BORROWED_PREFIX + job_id: 0}
 
     def home_of(self, job_id: str) -> str | None:
         """The cell that answers for the job, if it is borrowed."""
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -71,7 +71,7 @@
         The earliest are dropped; a query for one of them reads the state service.
         """
         self.archived[job_id] = status
-        if len(self.archived) > constants.REMEMBERED_JOBS:
+        if len(self.archived) > constants.CACHED_FINAL_STATUSES:
             del self.archived[next(iter(self.archived))]
 
     def machine(
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -34,14 +34,14 @@
 STORE_RETRY_S = 0.25  # pause after 429, 503 or no response, so that an outage costs few requests
 LEADER_RPS_SHARE = 0.4  # of the request rate; the followers' watches and reads share the rest
 LEADER_WRITE_SHARE = 0.75  # of the write rate; followers share the rest, for times without a leader
-REMEMBERED_JOBS = 20_000  # archived jobs with a cached final status; about 300 bytes each
+CACHED_FINAL_STATUSES = 20_000  # archived jobs with a cached final status; about 300 bytes each
 DEFERRED_POLL_S = 0.25  # interval at which deferred writes check for spare write rate
 # Longest wait of a bounded deferred write, even without spare write rate: workers report an exited
 # task until its outcome is stored, and the size of a heartbeat is limited.
 DEFERRED_MAX_WAIT_S = 3.0
 # Jobs of one record that are archived in one mutation. With the rewrite of the record, this needs
 # no more operations than the write rate of a busy state service has to spare.
-ARCHIVE_AT_ONCE = 3
+ARCHIVE_BATCH_JOBS = 3
 WATCH_HOLD_S = 6.0  # a silent partition breaks a watch after this plus STORE_TIMEOUT_S
 VALUE_FILL = 0.85  # used share of value_kb: the limit counts values as JSON, which are sent as CBOR
 # Operations of the largest indivisible transaction, which archives a job: it writes the final
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -117,9 +117,9 @@
         chosen: list[Job] = []
         operations_left = self.writer.limits.max_operations - 1  # one rewrites the record
         for job in filter(self.can_archive, jobs):
-            external = records.JOB + job.spec.id
+            external = records.SINGLE_JOB_PREFIX + job.spec.id
             operations_left -= 1 + (external in self.writer.versions and external != record_key)
-            if operations_left < 0 or len(chosen) == constants.ARCHIVE_AT_ONCE:
+            if operations_left < 0 or len(chosen) == constants.ARCHIVE_BATCH_JOBS:
                 break
             chosen.append(job)
         return chosen
@@ -135,10 +135,10 @@
         conditional on its absence.
         """
         known = self.writer.versions
-        external = [records.JOB + job.spec.id for job in archivable]
+        external = [records.SINGLE_JOB_PREFIX + job.spec.id for job in archivable]
         operations: list[Put | Delete] = [
             Put(
-                records.PAST + job.spec.id,
+                records.ARCHIVE_PREFIX + job.spec.id,
                 struct_to_builtins(records.FinalRecord(job.status, len(job.done))),
             )
             for job in archivable
@@ -167,7 +167,7 @@
     def _remove_archived(self, job: Job, record_key: str) -> None:
         """Remove an archived job from memory, and delete the records that only it needed."""
         job_id = job.spec.id
-        self.writer.versions.pop(records.PAST + job_id, None)  # never written again
+        self.writer.versions.pop(records.ARCHIVE_PREFIX + job_id, None)  # never written again
         self.cluster.note_archived(job_id, job.status)
         del self.cluster.jobs[job_id]
         del self.index.jobs_by_record[record_key][job_id]
@@ -179,7 +179,7 @@
     async def _reread_versions(self, job_id: str) -> None:
         """After archiving failed: read the versions of the job's records for the next try."""
         try:
-            for key in (records.JOB + job_id, records.PAST + job_id):
+            for key in (records.SINGLE_JOB_PREFIX + job_id, records.ARCHIVE_PREFIX + job_id):
                 item = await self.store.get(key)
                 if item is None:
                     self.writer.versions.pop(key, None)
--- a/peathall/jobs/completion.py
+++ b/peathall/jobs/completion.py
@@ -36,7 +36,7 @@
         self.archive = archive
         self.background = background
         self.remote = remote
-        self.block_size = records.block_tasks(writer.limits.value_kb)  # tasks of one record
+        self.block_size = records.tasks_per_block(writer.limits.value_kb)  # tasks of one record
 
     def note_done(self, job: Job) -> None:
         """Store the tasks of the job that were reported done, or the job's completion if all are
@@ -45,7 +45,9 @@
             return
         if len(job.done) < job.spec.tasks:
             self.writer.defer(
-                records.DONE + job.spec.id, lambda: self._make_mutation(job), bounded=True
+                records.DONE_TASKS_PREFIX + job.spec.id,
+                lambda: self._make_mutation(job),
+                bounded=True,
             )
         elif job.borrowed:
             self.remote.finish_borrowed(job)
--- a/peathall/jobs/external.py
+++ b/peathall/jobs/external.py
@@ -39,7 +39,9 @@
         """Watch for external jobs and register them as they are stored, until cancelled."""
         while True:
             try:
-                await self._register(await self.store.watch(records.JOB, self.revision))
+                await self._register(
+                    await self.store.watch(records.SINGLE_JOB_PREFIX, self.revision)
+                )
             except StoreError as exc:
                 log.debug("watch for jobs of other controllers failed, will be retried: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
@@ -50,13 +52,15 @@
         await self._reading.refresh()
 
     async def _read(self) -> None:
-        await self._register(await self.store.changes_since(records.JOB, self.revision))
+        await self._register(
+            await self.store.changes_since(records.SINGLE_JOB_PREFIX, self.revision)
+        )
 
     async def _register(self, changes: tuple[int, list[WatchEvent]] | None) -> None:
         """Register the jobs in the result of a watch. If that is None, the state service no longer
         has all changes since the last revision, and all records are scanned."""
         if changes is None:
-            items, self.revision = await self.store.scan(records.JOB)
+            items, self.revision = await self.store.scan(records.SINGLE_JOB_PREFIX)
         else:
             revision, events = changes
             items = [
@@ -68,6 +72,6 @@
         for item in items:
             # The record was written on condition that the job was not archived, and only this
             # leader archives jobs: a job archived since then is in `archived`.
-            if item.key.removeprefix(records.JOB) not in self.cluster.archived:
+            if item.key.removeprefix(records.SINGLE_JOB_PREFIX) not in self.cluster.archived:
                 self.writer.versions[item.key] = item.version
                 self.registry.register(item.value, item.key)
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -73,10 +73,14 @@
     async def _create(self, spec: JobSpec) -> None:
         """Store the job; raises ConflictError if it was accepted by a follower, archived or
         borrowed."""
-        prefixes = [records.JOB, records.PAST, *([records.BORROWED] if self.cells else [])]
+        prefixes = [
+            records.SINGLE_JOB_PREFIX,
+            records.ARCHIVE_PREFIX,
+            *([records.BORROWED_PREFIX] if self.cells else []),
+        ]
         await self.store.commit(
             {prefix + spec.id: 0 for prefix in prefixes},
-            [Put(records.JOB + spec.id, spec_to_record(spec))],
+            [Put(records.SINGLE_JOB_PREFIX + spec.id, spec_to_record(spec))],
         )
 
     async def _find(self, job_id: str) -> JobResponse | None:
@@ -91,9 +95,11 @@
             if final is not None:
                 return self._cache_final(job_id, final)
             return responses.found(encode_job_status(job_id, JobStatus.QUEUED))
-        archived = await self.store.get(records.PAST + job_id)
+        archived = await self.store.get(records.ARCHIVE_PREFIX + job_id)
         if archived is None:
-            borrowed = self.cells and await self.store.get(records.BORROWED + job_id) is not None
+            borrowed = (
+                self.cells and await self.store.get(records.BORROWED_PREFIX + job_id) is not None
+            )
             return RETRY_LATER if borrowed else None  # only a leader can ask the job's home cell
         return self._cache_final(job_id, records.read_final(archived.value))
 
@@ -101,6 +107,6 @@
         response = responses.found(encode_job_status(job_id, final.status, final.done))
         self._final_responses[job_id] = response
         self._final_responses.move_to_end(job_id)
-        if len(self._final_responses) > constants.REMEMBERED_JOBS:
+        if len(self._final_responses) > constants.CACHED_FINAL_STATUSES:
             self._final_responses.popitem(last=False)
         return response
--- a/peathall/jobs/jobs.py
+++ b/peathall/jobs/jobs.py
@@ -53,8 +53,12 @@
         remote = remote or NoRemoteJobs()
         cleanup = cleanup or writer
         self.background = BackgroundTasks()
-        self._job_records = SharedRecordWriter(writer, cluster.term, records.JOBS, "jobs")
-        self._final_records = SharedRecordWriter(writer, cluster.term, records.ENDS, "ends")
+        self._job_records = SharedRecordWriter(
+            writer, cluster.term, records.SHARED_JOBS_PREFIX, "jobs"
+        )
+        self._final_records = SharedRecordWriter(
+            writer, cluster.term, records.FINAL_STATUS_PREFIX, "ends"
+        )
         self.archive = JobArchive(
             cluster, store, writer, cleanup, self._job_records, self.background
         )
@@ -77,8 +81,8 @@
 
     # --- after a failover ----------------------------------------------------
     def load(self, live: list[KeyValue], done: list[KeyValue], revision: int) -> None:
-        """Rebuild all jobs from the records below records.LIVE (`live`) and records.DONE (`done`).
-        The live records were read at `revision` or later."""
+        """Rebuild all jobs from the records of live jobs, read at `revision` or later, and the
+        records of done tasks."""
         self._external.start_after(revision)
         self._recovery.load(live, done)
 
--- a/peathall/jobs/live_index.py
+++ b/peathall/jobs/live_index.py
@@ -31,7 +31,7 @@
 
     async def _read(self) -> None:
         if self._revision is None or not await self._apply_changes(self._revision):
-            items, revision = await self.store.scan(records.LIVE)
+            items, revision = await self.store.scan(records.LIVE_PREFIX)
             self._clear()
             for item in items:
                 self._apply(item.key, item.value)
@@ -49,7 +49,7 @@
     async def _apply_changes(self, revision: int) -> bool:
         """Apply the changes after the revision; returns False if the state service no longer
         has all of them."""
-        changes = await self.store.changes_since(records.LIVE, revision)
+        changes = await self.store.changes_since(records.LIVE_PREFIX, revision)
         if changes is None:
             return False
         self._revision, events = changes
@@ -59,7 +59,7 @@
 
     def _apply(self, key: str, value: Any) -> None:
         """Apply the new value of a record; None: the record was deleted."""
-        if key.startswith(records.ENDS):
+        if key.startswith(records.FINAL_STATUS_PREFIX):
             self._apply_final_statuses(key, value)
         else:
             self._apply_jobs(key, value)
@@ -68,7 +68,7 @@
         if value is None:
             job_records: list[dict[str, Any]] = []
         else:
-            job_records = [value] if key.startswith(records.JOB) else value["jobs"]
+            job_records = [value] if key.startswith(records.SINGLE_JOB_PREFIX) else value["jobs"]
         job_ids = [record["id"] for record in job_records]
         for job_id in job_ids:
             self.record_counts[job_id] = self.record_counts.get(job_id, 0) + 1
--- a/peathall/jobs/lookup.py
+++ b/peathall/jobs/lookup.py
@@ -73,7 +73,7 @@
         known = await self.find_in_memory(job_id)
         if known is not None:
             return known
-        item = await self.store.get(records.PAST + job_id)
+        item = await self.store.get(records.ARCHIVE_PREFIX + job_id)
         if item is None:
             return None
         final = records.read_final(item.value)
--- a/peathall/jobs/record_index.py
+++ b/peathall/jobs/record_index.py
@@ -33,7 +33,9 @@
         whereas the shared record would have to be rewritten for its other jobs.
         """
         duplicate = record_key
-        if job.record_key.startswith(records.JOB) and not record_key.startswith(records.JOB):
+        if job.record_key.startswith(records.SINGLE_JOB_PREFIX) and not record_key.startswith(
+            records.SINGLE_JOB_PREFIX
+        ):
             duplicate = job.record_key
             del self.jobs_by_record[duplicate]
             self.add(job, record_key)
--- a/peathall/jobs/records.py
+++ b/peathall/jobs/records.py
@@ -27,14 +27,14 @@
 from peathall.protocol.state_service import Delete, Put
 
 # Key prefixes.
-LIVE = "live/"  # covers JOB, JOBS and ENDS
-JOB = "live/job/"
-JOBS = "live/jobs/"
-ENDS = "live/ends/"
-DONE = "done/"
-PAST = "past/"
+LIVE_PREFIX = "live/"  # common to the next three
+SINGLE_JOB_PREFIX = "live/job/"
+SHARED_JOBS_PREFIX = "live/jobs/"
+FINAL_STATUS_PREFIX = "live/ends/"
+DONE_TASKS_PREFIX = "done/"
+ARCHIVE_PREFIX = "past/"
 # Jobs borrowed from other cells, one record each, written by the cells package.
-BORROWED = "borrowed/"
+BORROWED_PREFIX = "borrowed/"
 
 RANGE_BYTES = 16  # one range of two five-digit numbers as JSON, with a margin
 
@@ -60,7 +60,7 @@
     done: int
 
 
-def block_tasks(value_kb: float) -> int:
+def tasks_per_block(value_kb: float) -> int:
     """Number of tasks per block such that the record of a block fits into `value_kb` KiB."""
     # The worst case is that every second task is done: one range for every two tasks.
     return max(2, int(value_kb * 1024 * constants.VALUE_FILL / RANGE_BYTES) * 2)
@@ -71,12 +71,12 @@
     # An earlier version writes `done/ID/B`, with a block size that depended on its value size
     # limit. Both versions read every key below `done/ID/`. Without the block size in the key,
     # blocks of different sizes would overwrite each other and done tasks would be lost.
-    return f"{DONE}{job_id}/{size}x{block}"
+    return f"{DONE_TASKS_PREFIX}{job_id}/{size}x{block}"
 
 
 def job_of_done_key(key: str) -> str:
     """Id of the job to which a record of done tasks with this key belongs."""
-    return key.removeprefix(DONE).rpartition("/")[0]
+    return key.removeprefix(DONE_TASKS_PREFIX).rpartition("/")[0]
 
 
 def done_record(done: Ranges, block: int, size: int) -> DoneRecord:
--- a/peathall/jobs/recovery.py
+++ b/peathall/jobs/recovery.py
@@ -34,21 +34,21 @@
     def load(self, live: list[KeyValue], done: list[KeyValue]) -> None:
         """Register all live jobs with their final statuses and done tasks.
 
-        `live` are the records below records.LIVE, `done` those below records.DONE.
+        `live` are the records below LIVE_PREFIX, `done` those below DONE_TASKS_PREFIX.
         """
         for item in live:
             self.writer.versions[item.key] = item.version
         # Jobs are loaded before their final statuses. Shared records are loaded before single-job
         # records: of two records that contain a job, the shared one is kept.
         for item in live:
-            if item.key.startswith(records.JOBS):
+            if item.key.startswith(records.SHARED_JOBS_PREFIX):
                 for record in item.value["jobs"]:
                     self.registry.register(record, item.key)
         for item in live:
-            if item.key.startswith(records.JOB):
+            if item.key.startswith(records.SINGLE_JOB_PREFIX):
                 self.registry.register(item.value, item.key)
         for item in live:
-            if item.key.startswith(records.ENDS):
+            if item.key.startswith(records.FINAL_STATUS_PREFIX):
                 self._load_final_statuses(item)
         for item in done:
             self._load_done_tasks(item)
--- a/peathall/jobs/submission.py
+++ b/peathall/jobs/submission.py
@@ -63,5 +63,5 @@
     def _conditions(self, job_id: str) -> dict[str, int]:
         """Conditions that the job is neither archived, nor accepted by another controller, nor
         borrowed."""
-        absent = {records.PAST + job_id: 0, records.JOB + job_id: 0}
+        absent = {records.ARCHIVE_PREFIX + job_id: 0, records.SINGLE_JOB_PREFIX + job_id: 0}
         return absent | self.remote.accept_conditions(job_id)
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -61,8 +61,8 @@
 
     async def _read(self) -> StoredState:
         types = await self._store.get(TYPES)
-        live, live_revision = await self._store.scan(records.LIVE)
-        done, _ = await self._store.scan(records.DONE)
+        live, live_revision = await self._store.scan(records.LIVE_PREFIX)
+        done, _ = await self._store.scan(records.DONE_TASKS_PREFIX)
         rounds, _ = await self._store.scan(ROUND)
         image_caches, _ = await self._store.scan(CACHE)
         failing_jobs = await self._store.get(FAILING_JOBS_KEY)
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -62,8 +62,8 @@
 
 async def recovered(store: FakeStore, term: int) -> Jobs:
     jobs = leader(store, term)
-    live, revision = await store.scan(records.LIVE)
-    done, _ = await store.scan(records.DONE)
+    live, revision = await store.scan(records.LIVE_PREFIX)
+    done, _ = await store.scan(records.DONE_TASKS_PREFIX)
     jobs.load(live, done, revision)
     return jobs
 
@@ -111,14 +111,14 @@
             ids = [f"j-{n}" for n in range(5)]
             responses = await asyncio.gather(*(jobs.accept(spec(id=job_id)) for job_id in ids))
             assert [status for status, _ in responses] == [201] * 5
-            assert len([k for k in store.data if k.startswith(records.JOBS)]) == 1
+            assert len([k for k in store.data if k.startswith(records.SHARED_JOBS_PREFIX)]) == 1
             # Written by a follower, and not read by the leader.
             store.write("live/job/j-1", spec_to_record(spec(id="j-1")))
             report_all_done(jobs, "j-0", "j-1", "j-2")
             for _ in range(4):
                 await review_all(jobs)
             assert sorted(jobs.cluster.jobs) == ["j-3", "j-4"]
-            assert {k for k in store.data if k.startswith(records.PAST)} == {
+            assert {k for k in store.data if k.startswith(records.ARCHIVE_PREFIX)} == {
                 "past/j-0", "past/j-1", "past/j-2",
             }  # fmt: skip
             assert "live/job/j-1" not in store.data
@@ -131,7 +131,9 @@
             report_all_done(successor, "j-3", "j-4")
             for _ in range(4):
                 await review_all(successor)
-            assert not [k for k in store.data if k.startswith(records.LIVE)]  # nothing is left over
+            assert not [
+                k for k in store.data if k.startswith(records.LIVE_PREFIX)
+            ]  # nothing is left over
 
     asyncio.run(run())
 
@@ -259,7 +261,7 @@
         large = [spec_to_record(spec(id=f"j-{n}", team="t")) for n in range(20)]
         store.write("live/jobs/1-1", {"jobs": large})
         jobs = leader(store, 2, StateSettings(100.0, 50.0, 2.0, 4))
-        live, revision = await store.scan(records.LIVE)
+        live, revision = await store.scan(records.LIVE_PREFIX)
         jobs.load(live, [], revision)
         async with writing(jobs):
             over = [f"j-{n}" for n in range(3, 18)]
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -1181,7 +1181,7 @@
     assert (duties.ENABLED_KEY, duty.holder_key, duty.token_key, duty.action_prefix) == (
         "duties/on", "duties/holder/renting", "duties/token/renting", "duty-act/renting/",
     )  # fmt: skip
-    assert (cells.HANDOFF, records.BORROWED) == ("handoff/", "borrowed/")
+    assert (cells.HANDOFF, records.BORROWED_PREFIX) == ("handoff/", "borrowed/")
 
 
 def sender(http: RecordedHttp) -> Any:
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -13,7 +13,7 @@
 from peathall.cluster.ranges import Ranges
 from peathall.config.platform import StateSettings
 from peathall.jobs.follower import FollowerService
-from peathall.jobs.records import DONE, block_tasks, done_key, done_record
+from peathall.jobs.records import DONE_TASKS_PREFIX, done_key, done_record, tasks_per_block
 from peathall.leadership.lease import LeaderLease, fencing_token, first_attempt
 from peathall.placement.rounds import RoundEntry, from_record, split_entries, to_record
 from peathall.protocol.codec import json_size, struct_to_builtins
@@ -264,7 +264,7 @@
 
 
 def test_records_stay_under_the_size_limit() -> None:
-    size = block_tasks(8.0)
+    size = tasks_per_block(8.0)
     worst = Ranges([(n, n + 1) for n in range(99_000, 99_000 + 3 * size, 2)])
     for block in range(99_000 // size, (99_000 + 3 * size) // size + 1):
         assert json_size(struct_to_builtins(done_record(worst, block, size))) < 8 * 1024
@@ -309,7 +309,7 @@
     """Two versions, or two limits: each writes blocks of its own size under keys of its own."""
     assert len({done_key("j-1", 0, 216), done_key("j-1", 0, 1740), "done/j-1/0"}) == 3
     for key in (done_key("j-1", 3, 216), "done/j-1/3"):  # as the version before takes it apart
-        assert key.removeprefix(DONE).rpartition("/")[0] == "j-1"
+        assert key.removeprefix(DONE_TASKS_PREFIX).rpartition("/")[0] == "j-1"
 
 
 def test_a_deferred_write_is_written_once_in_its_latest_state_when_there_is_capacity() -> None:
