--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -55,7 +55,7 @@
     def note_done(self, job: Job) -> None:
         """Tasks of the job are done."""
 
-    def review(self, job: Job) -> None:
+    def retry_finalization(self, job: Job) -> None:
         """Resume what the job still waits for."""
 
 
@@ -219,7 +219,7 @@
         job.on_hold = False
         job.running_remotely = 0
         self.cluster.release_remote(job.spec)
-        self.jobs.review(job)
+        self.jobs.retry_finalization(job)
 
     # --- heartbeats of borrowers ---------------------------------------------
     def handle_heartbeat(self, heartbeat: CellHeartbeat, now: float) -> list[Ruling]:
@@ -260,7 +260,7 @@
             return Ruling(item.job, item.epoch, Verdict.GRANTED, handoff.lease.lease_s)
         if item.stopping and not handoff.stopped:
             handoff.stopped = True
-            self.jobs.review(job)  # a cancellation can be confirmed now
+            self.jobs.retry_finalization(job)  # a cancellation can be confirmed now
         return Ruling(item.job, item.epoch, Verdict.REVOKED)
 
     def _note_end(self, job: Job) -> None:
--- a/peathall/jobs/archive.py
+++ b/peathall/jobs/archive.py
@@ -90,7 +90,7 @@
         """Mutation that archives as many jobs of the record as one transaction allows; None if
         there is none to archive now."""
         if record_key in self.index.archiving:
-            return None  # tried again by `Jobs.review`, every second
+            return None  # tried again by `Jobs.retry_finalization`, every second
         jobs = [
             self.cluster.jobs[job_id] for job_id in self.index.jobs_by_record.get(record_key, ())
         ]
--- a/peathall/jobs/cancellation.py
+++ b/peathall/jobs/cancellation.py
@@ -51,7 +51,7 @@
         """Stop the job's tasks and store the cancellation.
 
         Returns without storing it while another cell may run a task for longer than a cancellation
-        may take; `Jobs.review` tries again every second.
+        may take; `Jobs.retry_finalization` tries again every second.
         """
         while not job.is_final:
             if job.finalizing is not None:
--- a/peathall/jobs/jobs.py
+++ b/peathall/jobs/jobs.py
@@ -134,7 +134,7 @@
         """Store the tasks of the job that were reported done."""
         self._completion.note_done(job)
 
-    def review(self, job: Job) -> None:
+    def retry_finalization(self, job: Job) -> None:
         """Retry storing the job's final status or archiving the job; called every second."""
         if job.is_final:
             self.archive.archive_if_possible(job)
@@ -144,7 +144,7 @@
         elif len(job.done) >= job.spec.tasks:
             self.note_done(job)
 
-    async def follow(self) -> None:
+    async def watch_external_jobs(self) -> None:
         """Watch for jobs that other controllers accept and register them, until cancelled."""
         await self._external.watch_until_cancelled()
 
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -106,7 +106,7 @@
 
     def _loops(self) -> Iterator[Coroutine[Any, Any, None]]:
         """What runs while the leader serves; none of it returns."""
-        yield self.jobs.follow()
+        yield self.jobs.watch_external_jobs()
         yield self.placement.run()
         yield self.autoscaler.run()
         yield self._tick()
@@ -139,4 +139,4 @@
         if self._loop.time() - self.workers.failover_at > constants.FORGET_CACHES_S:
             slices.image_caches.forget_unknown()
         for job in list(self.cluster.jobs.values()):
-            self.jobs.review(job)
+            self.jobs.retry_finalization(job)
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -89,7 +89,7 @@
 
 async def review_all(jobs: Jobs) -> None:
     for job in list(jobs.cluster.jobs.values()):
-        jobs.review(job)
+        jobs.retry_finalization(job)
     await settle(jobs)
 
 
@@ -268,7 +268,7 @@
             report_all_done(jobs, *over)
             for _ in range(400):  # reviewed between all steps of the writes
                 for job in list(jobs.cluster.jobs.values()):
-                    jobs.review(job)
+                    jobs.retry_finalization(job)
                 await asyncio.sleep(0)
             await settle(jobs)
             assert {f"past/{job_id}" for job_id in over} <= store.data.keys()
