--- a/peathall/duties/__init__.py
+++ b/peathall/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties: actions that one controller at a time performs, owned by lease with fencing tokens."""
+"""Duties: kinds of work that one controller at a time performs, by lease and fencing token."""
--- a/peathall/duties/board.py
+++ b/peathall/duties/board.py
@@ -1,4 +1,4 @@
-"""A cache of the holders' records: who holds which duty, and whether duties are on."""
+"""A cache of the records of duties: who holds which duty, and whether duties are on."""
 
 from __future__ import annotations
 
@@ -19,7 +19,8 @@
 class DutyBoard:
     """The records of all duties, kept up to date by one watch.
 
-    It may lag behind the state service: what depends on a holder is made a condition of a commit.
+    The cache may lag behind the state service, so a commit that depends on a holder states the
+    version of the holder's record as a condition.
     """
 
     def __init__(self, store: StoreClient) -> None:
@@ -27,31 +28,31 @@
         self.loop = asyncio.get_running_loop()
         self.versions: dict[str, int] = {}  # of the records under duties/, by key
         self.holders: dict[Duty, HolderRecord] = {}
-        self.vacant_since: dict[Duty, float] = {}  # steady time, of duties without a holder
-        self.known = False  # read at least once
+        self.vacant_since: dict[Duty, float] = {}  # monotonic time; duties without a holder only
+        self.known = False  # whether the records were read at least once
         self._changed = asyncio.Event()
 
     @property
     def enabled_version(self) -> int:
-        """Version of the record that duties are on; 0: they are off, or it is not read yet."""
+        """Version of the record `duties/on`; 0 if duties are off or no record was read yet."""
         return self.versions.get(ENABLED_KEY, 0)
 
     async def changed(self, timeout: float) -> None:
-        """Wait for a change, but no longer than `timeout` seconds."""
+        """Wait for a change, for at most `timeout` seconds."""
         try:
             await asyncio.wait_for(self._changed.wait(), timeout)
         except TimeoutError:
             pass
 
     async def run(self) -> None:
-        """Read the records, then apply watch events, for ever."""
+        """Read the records and apply watch events, in a loop until cancelled."""
         while True:
             try:
                 items, revision = await self.store.scan(DUTIES_PREFIX)
                 self._load(items)
                 await self._follow(revision)
             except StoreError as exc:
-                log.debug("reading the records of duties failed and is repeated: %s", exc)
+                log.debug("reading the records of duties failed, retrying: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
     def _load(self, items: list[KeyValue]) -> None:
@@ -66,7 +67,7 @@
         self._notify()
 
     async def _follow(self, revision: int) -> None:
-        """Returns when the service no longer has the changes since the revision."""
+        """Apply watch events; returns when the state service no longer has the next changes."""
         while (update := await self.store.watch(DUTIES_PREFIX, revision)) is not None:
             revision, events = update
             for event in events:
@@ -88,7 +89,7 @@
         try:
             duty = Duty(key.removeprefix(HOLDER_PREFIX))
         except ValueError:
-            return  # a duty of a later version
+            return  # a duty that a later version of peathall added
         if value is None:
             self.holders.pop(duty, None)
             self.vacant_since[duty] = self.loop.time()
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -1,9 +1,10 @@
-"""Ownership of one duty by lease: claimed when it has no holder, renewed, released.
+"""Ownership of one duty: claimed when the duty has no holder, kept by renewing a lease, released.
 
-The holder's record is bound to a lease of the state service, and the fencing token is raised in
-the same commit, so no token is given twice. What a holder commits is conditional on the version
-of that record: once the lease has expired, or another holds the duty, nothing new of it is
-accepted, whatever its clocks say. The lease measured here only saves it requests in vain.
+The holder's record is bound to a lease of the state service. The commit that writes it also raises
+the fencing token, so no token is issued twice. Every commit of a holder is conditional on the
+version of that record: once the lease has expired or another controller holds the duty, the state
+service rejects the former holder's commits, even if that holder's clock is wrong. The lease time
+measured here only avoids requests that would be rejected.
 """
 
 from __future__ import annotations
@@ -38,28 +39,28 @@
 
 
 class Tenure(Struct, frozen=True):
-    """One ownership of a duty, from a successful claim to the end of its lease."""
+    """Ownership of a duty, from a successful claim to the end of the lease."""
 
     holder: HolderRecord  # with the fencing token
-    record: GuardKey  # the same as it is stored: every commit is conditional on it
-    lease: LeaderLease  # until when the holder may act, by its own clock
+    record: GuardKey  # the stored holder record: every commit is conditional on its version
+    lease: LeaderLease  # until when the holder may act, by the holder's own clock
 
 
 class Claimant(Protocol):
     """The controller on whose behalf duties are claimed."""
 
     def may_claim(self) -> bool:
-        """Whether a duty without a holder may be claimed at present."""
+        """Whether duties without a holder may be claimed at present."""
 
     def claim_delay_s(self) -> float:
-        """Seconds for which a duty without a holder is left to other controllers."""
+        """Seconds for which this controller leaves a duty without a holder to other controllers."""
 
     async def hold(self, duty: Duty, tenure: Tenure) -> None:
-        """Perform the duty, until cancelled."""
+        """Perform the duty until cancelled."""
 
 
 class DutyClaim:
-    """Claims a duty when it may, renews its lease, and releases it."""
+    """Claims a duty when permitted, renews its lease, and releases it."""
 
     def __init__(
         self,
@@ -72,7 +73,7 @@
         rng: random.Random,
         claimant: Claimant,
     ) -> None:
-        """`name`: of this controller; `lease_s`: length of the lease; `wall`: the wall clock."""
+        """`name`: of this controller; `lease_s`: duration of the lease; `wall`: the wall clock."""
         self.duty = duty
         self.name = name
         self.store = store
@@ -86,36 +87,37 @@
         self.tenure: Tenure | None = None
         self._release = asyncio.Event()
 
-    def _enter(self, phase: DutyPhase) -> None:
-        """The one way to change the phase."""
+    def _set_phase(self, phase: DutyPhase) -> None:
         if phase is not self.phase:
-            log.info("duty %s: %s -> %s", self.duty.value, self.phase.name, phase.name)
+            log.info(
+                "duty %s: phase changed from %s to %s", self.duty.value, self.phase.name, phase.name
+            )
             self.phase = phase
 
     def may_act(self) -> bool:
-        """Whether our lease on the duty is valid, by our clock."""
+        """Whether this controller's lease on the duty is valid by its own clock."""
         holding = self.phase in (DutyPhase.HOLDING, DutyPhase.RENEWAL_UNANSWERED)
         return holding and self.tenure is not None and self.tenure.lease.is_valid(self.loop.time())
 
     def may_begin(self) -> bool:
-        """Whether a new action may begin: not while the latest renewal is unanswered."""
+        """Whether a new action may start: not while the latest renewal is unanswered."""
         return self.phase is DutyPhase.HOLDING and self.may_act()
 
     async def run(self) -> None:
-        """Follow, claim and hold in turn, for ever."""
+        """Wait for the duty to be free, claim it and hold it, in a loop until cancelled."""
         while True:
             try:
-                await self._follow()
+                await self._claim_when_free()
             except StoreError as exc:
-                log.debug("claiming duty %s failed and is repeated: %s", self.duty.value, exc)
-                self._enter(DutyPhase.FOLLOWING)
+                log.debug("duty %s: claim failed, retrying: %s", self.duty.value, exc)
+                self._set_phase(DutyPhase.FOLLOWING)
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
-    async def _follow(self) -> None:
+    async def _claim_when_free(self) -> None:
         holder = self.board.holders.get(self.duty)
         if holder is not None and holder.member == self.name:
-            # Claimed before this process started, or by a claim whose answer was lost: no
-            # executor performs it.
+            # The record is from before this process started, or from a claim whose response was
+            # lost. No executor performs the duty, so the lease is revoked.
             await self._revoke(holder.lease)
             await self.board.changed(constants.STORE_RETRY_S)
         elif (
@@ -130,7 +132,7 @@
             await self.board.changed(constants.DUTY_LOOK_S)
 
     async def _stays_vacant(self) -> bool:
-        """Whether nobody else claims it within the time that is left to others."""
+        """Whether no other controller claims the duty within this controller's claim delay."""
         began = self.loop.time()
         jitter = self.rng.random() * constants.CAMPAIGN_JITTER_S
         while (
@@ -138,8 +140,8 @@
             and self.board.enabled_version
             and self.claimant.may_claim()
         ):
-            # The delay is asked for each time: a new leader is told that duties are on before it
-            # is told that it leads.
+            # The delay is computed anew each time: a new leader learns that duties are on before
+            # it learns that it leads.
             left_s = began + jitter + self.claimant.claim_delay_s() - self.loop.time()
             if left_s <= constants.DUTY_CLAIM_STEP_S:
                 return True
@@ -147,8 +149,8 @@
         return False
 
     async def _claim(self) -> None:
-        """Raise the token and write the holder's record in one commit, on a new lease."""
-        self._enter(DutyPhase.CLAIMING)
+        """Raise the fencing token and write the holder's record in one commit, with a new lease."""
+        self._set_phase(DutyPhase.CLAIMING)
         item = await self.store.get(self.duty.token_key, prioritized=True)
         before = msgspec.convert(item.value, TokenRecord) if item is not None else TokenRecord()
         vacant_s = self.loop.time() - self.board.vacant_since.get(self.duty, self.loop.time())
@@ -170,7 +172,7 @@
             version = await self.store.commit(conditions, [*puts])
         except (ConflictError, LeaseExpiredError):
             await self._revoke(lease_id)
-            self._enter(DutyPhase.FOLLOWING)
+            self._set_phase(DutyPhase.FOLLOWING)
             return
         record = GuardKey(self.duty.holder_key, value, version, lease_id)
         await self._hold(Tenure(holder, record, LeaderLease(self.lease_s, sent)))
@@ -178,8 +180,8 @@
     async def _hold(self, tenure: Tenure) -> None:
         self.tenure = tenure
         self._release = asyncio.Event()
-        self._enter(DutyPhase.HOLDING)
-        log.info("duty %s: claimed with token %d", self.duty.value, tenure.holder.token)
+        self._set_phase(DutyPhase.HOLDING)
+        log.info("duty %s: claimed with fencing token %d", self.duty.value, tenure.holder.token)
         tasks = [
             asyncio.create_task(self._renew(tenure)),
             asyncio.ensure_future(self.claimant.hold(self.duty, tenure)),
@@ -188,54 +190,72 @@
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            self._enter(DutyPhase.RELEASING)
+            self._set_phase(DutyPhase.RELEASING)
             for task in tasks:
                 task.cancel()
             for result in await asyncio.gather(*tasks, return_exceptions=True):
                 if isinstance(result, Exception):
-                    log.error("duty %s: performing it failed", self.duty.value, exc_info=result)
+                    log.error(
+                        "duty %s: renewing or performing it failed, releasing it",
+                        self.duty.value,
+                        exc_info=result,
+                    )
         await self.give_up()
 
     async def _renew(self, tenure: Tenure) -> None:
-        """Returns when the lease has expired. An outage of the state service is waited out: after
-        it, every lease has its full time again."""
+        """Renew the lease; returns when it has expired.
+
+        Renewals go on during an outage of the state service: after an outage, the state service
+        gives every lease its full duration again.
+        """
         while True:
             pause = self.lease_s / constants.DUTY_RENEWALS
             sent = self.loop.time()
             try:
                 await self.store.renew_lease(tenure.holder.lease, pause)
                 tenure.lease.record_renewal(sent)
-                self._enter(DutyPhase.HOLDING)
+                self._set_phase(DutyPhase.HOLDING)
             except LeaseExpiredError:
-                log.info("duty %s: our lease has expired", self.duty.value)
+                log.info("duty %s: the lease has expired, releasing the duty", self.duty.value)
                 return
             except StoreError as exc:
-                log.debug("duty %s: renewing the lease failed: %s", self.duty.value, exc)
-                self._enter(DutyPhase.RENEWAL_UNANSWERED)
+                log.debug(
+                    "duty %s: lease renewal failed, no new actions until one succeeds: %s",
+                    self.duty.value,
+                    exc,
+                )
+                self._set_phase(DutyPhase.RENEWAL_UNANSWERED)
                 pause = constants.STORE_RETRY_S
             await asyncio.sleep(pause)
 
     def lost(self) -> None:
-        """A commit was refused: another holds the duty, or nobody does."""
+        """Called when a commit was rejected because this controller no longer holds the duty."""
         self._release.set()
 
     def release(self) -> None:
-        """Begin to give the duty up, so that another can claim it at once."""
+        """Start releasing the duty, so that another controller can claim it at once."""
         self._release.set()
 
     async def give_up(self) -> None:
-        """Revoke our lease, if we have one. Also after a commit was refused: the lease may still
-        be valid in the state service."""
+        """Revoke the lease of this controller, if there is one.
+
+        Also after a rejected commit: the lease may still be valid in the state service.
+        """
         tenure, self.tenure = self.tenure, None
         if tenure is None:
             return
-        self._enter(DutyPhase.RELEASING)
+        self._set_phase(DutyPhase.RELEASING)
         await self._revoke(tenure.holder.lease)
-        log.info("duty %s: released token %d", self.duty.value, tenure.holder.token)
-        self._enter(DutyPhase.FOLLOWING)
+        log.info("duty %s: released, fencing token was %d", self.duty.value, tenure.holder.token)
+        self._set_phase(DutyPhase.FOLLOWING)
 
     async def _revoke(self, lease_id: int) -> None:
         try:
             await self.store.revoke_lease(lease_id)
         except StoreError as exc:
-            log.debug("duty %s: revoking lease %d failed: %s", self.duty.value, lease_id, exc)
+            log.debug(
+                "duty %s: revoking lease %d failed, it will expire: %s",
+                self.duty.value,
+                lease_id,
+                exc,
+            )
--- a/peathall/duties/command.py
+++ b/peathall/duties/command.py
@@ -1,4 +1,4 @@
-"""`peathall duties`: the holder of each duty, unfinished actions, and why one has to wait."""
+"""`peathall duties`: the holder of each duty, its unfinished actions, and why its work waits."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def format_lines(status: DutiesStatus, now: float) -> list[str]:
-    """The status as text; `now` is the time of day."""
+    """The status as lines of text; `now`: wall clock time, in seconds since the epoch."""
     lines = [f"duties are {'on' if status.on else 'off'}; {status.leader or 'nobody'} leads"]
     for duty in status.duties:
         lines += _duty_lines(duty, now)
--- a/peathall/duties/delegate.py
+++ b/peathall/duties/delegate.py
@@ -1,4 +1,4 @@
-"""The leader's side of scale-out and scale-in while duties are on: requests to the holders."""
+"""How the leader provisions and deletes machines while duties are on: requests to the holders."""
 
 from __future__ import annotations
 
@@ -19,20 +19,22 @@
 
 
 class DelegatedCloud:
-    """CloudActions by way of the duties' holders; without a holder they raise CloudError."""
+    """Cloud actions that the holders of the duties carry out; CloudError if there is no holder."""
 
     def __init__(self, term: int, leader_version: Callable[[], int], holders: Holders) -> None:
-        """`leader_version`: version of the leader key, on which the holders' commits depend."""
+        """`leader_version`: version of the leader key, a condition of the holders' commits."""
         self._term = term
         self._leader_version = leader_version
         self._holders = holders
-        self._number = 0  # of the latest deletion
-        self._deletion: Deletion | None = None  # requested, and not answered yet
+        self._deletion_count = 0  # numbers the deletions of this term
+        self._deletion: Deletion | None = None  # requested and not known to be done
         self._concurrency = asyncio.Semaphore(constants.DUTY_ASKS_AT_ONCE)
 
     async def provision(self, request: ProvisionRequest, /) -> list[str]:
-        """Names of the machines that the holder of scale-out has provisioned; raises CloudError
-        or NoCapacityError."""
+        """Have the holder of scale-out provision machines; returns their names.
+
+        Raises CloudError or NoCapacityError.
+        """
         holder = self._holder(Duty.SCALE_OUT)
         result = await self._ask(
             holder,
@@ -45,14 +47,17 @@
         return result.machines
 
     async def delete(self, machines: list[str], /) -> None:
-        """Returns once the holder of scale-in has deleted them; raises CloudError. A request that
-        was not answered yet goes first, under its own name."""
+        """Have the holder of scale-in delete the machines; returns once they are deleted.
+
+        An earlier deletion that is not known to be done is repeated first, under its own name.
+        Raises CloudError.
+        """
         waiting = set(machines)
         while self._deletion is not None or waiting:
             if self._deletion is None:
-                self._number += 1
-                # The term makes the name unique for good, as that of a provision request.
-                name = f"d-{self._term}-{self._number}"
+                self._deletion_count += 1
+                # The term makes the name unique among all deletions, of earlier terms as well.
+                name = f"d-{self._term}-{self._deletion_count}"
                 self._deletion = Deletion(name, [m for m in machines if m in waiting])
             deletion = self._deletion
             holder = self._holder(Duty.SCALE_IN)
@@ -83,8 +88,8 @@
             self._holders.waiting.clear(request.duty)
             return result
         self._holders.waiting.note(request.duty, f"{holder.member}: {result.why}")
-        # What is refused now may have been committed when it was requested before: only PENDING
-        # tells of this request that it may be carried out.
+        # Only PENDING means that this request may have been committed. After REFUSED, an earlier
+        # request under the same name may still have been.
         sent = result.outcome is Outcome.PENDING
         raise CloudError(
             f"duty {request.duty.value}: {request.name} is not done by its holder "
--- a/peathall/duties/delegation.py
+++ b/peathall/duties/delegation.py
@@ -1,4 +1,4 @@
-"""How a leader gets its work done by the duties' holders, for one term."""
+"""The parts through which a leader delegates work to the holders of duties, for one term."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Delegation(Struct, frozen=True):
-    """A leader's ways to the holders, for one term."""
+    """What a leader uses to delegate work to the holders, for one term."""
 
     cloud: DelegatedCloud
     compaction: DelegatedWrites
@@ -26,6 +26,6 @@
             tasks.create_task(self.cleanup.run())
 
     def act_directly(self) -> None:
-        """Duties are off: the leader's writer gets the writes that wait."""
+        """Duties are off: pass all deferred writes to the leader's own writer."""
         self.compaction.act_directly()
         self.cleanup.act_directly()
--- a/peathall/duties/disabled.py
+++ b/peathall/duties/disabled.py
@@ -1,4 +1,4 @@
-"""Stands in for the duties of a leader when it does all work itself."""
+"""The null object for duties: the leader does all work itself."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class NoDuties:
-    """Nothing is delegated: the leader acts on the cloud and cleans up itself."""
+    """Delegates nothing: the leader calls the cloud and cleans up records itself."""
 
     cloud: CloudActions | None = None
     compaction: DeferredWriter | None = None
     cleanup: DeferredWriter | None = None
 
     async def pending_deletions(self) -> set[str]:
-        """None: no holder deletes machines; the state service is not asked."""
+        """Always empty, without a read of the state service: no holder deletes machines."""
         return set()
 
     def loops(self, on_retired: Callable[[], None]) -> Iterable[Coroutine[Any, Any, None]]:
-        """Nothing runs."""
+        """No background work."""
         return ()
--- a/peathall/duties/duties.py
+++ b/peathall/duties/duties.py
@@ -1,4 +1,4 @@
-"""A controller's part in duties: its claims, the requests that reach it, their status."""
+"""Duties at one controller: its claims, requests for actions, delegation as leader, status."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Duties:
-    """Claims and performs duties at this controller, and delegates to their holders if it leads."""
+    """Claims and performs duties at this controller; as leader, delegates work to their holders."""
 
     def __init__(
         self,
@@ -70,11 +70,11 @@
             )
             for duty in own.held()
         }
-        self._delegation: Delegation | None = None  # of our latest term
+        self._delegation: Delegation | None = None  # of the latest term that this controller led
         self._retirement = Retirement(store, self.board, self._release_claims)
 
     async def run(self) -> None:
-        """Follow the records of duties, and claim, until cancelled."""
+        """Watch the records of duties and claim duties, until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.board.run())
             for claim in self.claims.values():
@@ -82,18 +82,20 @@
 
     # --- claims --------------------------------------------------------------
     def may_claim(self) -> bool:
-        """Whether duties without a holder may be claimed: while duties are retired, only to finish
-        what an earlier holder left."""
+        """Whether duties without a holder may be claimed.
+
+        While duties are being retired, only to finish actions of earlier holders.
+        """
         return self.own.mode is Mode.ON or self._retirement.has_unfinished
 
     def claim_delay_s(self) -> float:
-        """A controller that leads, or holds other duties, leaves a free one to others so long."""
+        """Seconds to leave a free duty to others; longer if this controller leads or holds any."""
         held = sum(c.phase is not DutyPhase.FOLLOWING for c in self.claims.values())
         leading = constants.DUTY_LEADER_PAUSE_S if self.leads() else 0.0
         return leading + constants.DUTY_HELD_PAUSE_S * held
 
     async def hold(self, duty: Duty, tenure: Tenure) -> None:
-        """Perform the duty, until cancelled."""
+        """Perform the duty until cancelled."""
         claim = self.claims[duty]
         cloud = CloudClient(
             self.settings.services.cloud,
@@ -121,14 +123,14 @@
             claim.release()
 
     async def release_all(self) -> None:
-        """Give up all duties in order, and claim none any more: others claim them at once."""
+        """Release all duties and claim none again, so that others can claim them at once."""
         self.own = msgspec.structs.replace(self.own, mode=Mode.RETIRING)
         for claim in self.claims.values():
             await claim.give_up()
 
     # --- leading -------------------------------------------------------------
     def delegate(self, term: int, writer: Writer) -> Delegation:
-        """The ways to the holders, for the leader of this term."""
+        """Set up delegation to the holders, for this term of this controller as leader."""
         holders = Holders(self.settings.name, self.board, self.send, self.perform)
         cloud = DelegatedCloud(term, lambda: writer.guard.version, holders)
         compaction = DelegatedWrites(Duty.COMPACTION, term, writer, self.leads, holders)
@@ -137,24 +139,26 @@
         return self._delegation
 
     async def pending_deletions(self) -> set[str]:
-        """Machines named in unfinished deletions; raises StoreError."""
+        """Names of the machines in unfinished deletions; raises StoreError."""
         items, _ = await self.store.scan(Duty.SCALE_IN.action_prefix)
         intents = [msgspec.convert(item.value, ActionIntent) for item in items]
         return {m for i in intents if i.deletion is not None for m in i.deletion.machines}
 
     @property
     def retiring(self) -> bool:
-        """Whether this controller takes duties out of use."""
+        """Whether this controller, when it leads, switches duties off."""
         return self.own.mode is Mode.RETIRING
 
     async def retire(self, writer: Writer, done: Callable[[], None]) -> None:
-        """While we lead: switch duties off, then call `done`. Ends only by cancellation."""
+        """As leader: switch duties off, then call `done`. Ends only by cancellation."""
         await self._retirement.run(writer, done)
 
     # --- requests ------------------------------------------------------------
     async def serve(self, path: str, raw: bytes) -> tuple[int, Any]:
-        """Status and body for a request of another controller or an operator's client; raises
-        StoreError if the status of duties cannot be read."""
+        """HTTP status and body for a request from another controller or an operator's command.
+
+        Raises StoreError if the records of duties cannot be read.
+        """
         if path == "/duties":
             return 200, struct_to_builtins(await self.status())
         if path == "/duties/waiting":
@@ -166,14 +170,14 @@
         return 200, struct_to_builtins(await self.perform(request))
 
     async def perform(self, request: ActionRequest) -> ActionResult:
-        """Carry a request out, if we hold its duty."""
+        """Carry out a request, if this controller holds the duty."""
         executor = self.executors.get(request.duty)
         if executor is None:
             return ActionResult(Outcome.REFUSED, why="does not hold the duty")
         return await executor.perform(request)
 
     async def status(self) -> DutiesStatus:
-        """Who holds what, read from the state service; why work waits, as the leader knows it."""
+        """The status of duties, read from the state service; the leader tells why work waits."""
         duties, _ = await self.store.scan(DUTIES_PREFIX)
         actions, _ = await self.store.scan(ACTION_PREFIX)
         item = await self.store.get(LEADER_KEY)
@@ -184,7 +188,7 @@
         return describe(self.settings.name, [*duties, *actions], leader, waiting)
 
     def _waiting(self) -> dict[str, str]:
-        """Why work waits, by duty, if we lead."""
+        """Reasons why work waits, by duty; empty if this controller does not lead."""
         if self._delegation is None or not self.leads():
             return {}
         return self._delegation.holders.waiting.recent()
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -1,8 +1,8 @@
 """How a holder performs an action: commit the intent, carry it out, delete the intent.
 
-A commit is conditional on the holder's record and on the leader key of the leader that asked.
-Actions that an earlier holder left unfinished are finished first. Actions are idempotent, since
-the cloud and the state service know them by name.
+The commit is conditional on the holder's record and on the leader key of the leader that requested
+the action. A new holder first finishes the actions that an earlier holder left unfinished. Actions
+are idempotent, since the cloud and the state service recognise them by name.
 """
 
 from __future__ import annotations
@@ -41,17 +41,17 @@
 log = logging.getLogger("peathall.duties")
 
 
-# Called between the steps of an action with the step and the action's name, so that tests can stop
-# a holder there.
+# Called between the steps of an action with the step and the name of the action, so that tests can
+# stop a holder there.
 Checkpoint = Callable[[str, str], Awaitable[None]]
 
 
 async def no_checkpoint(step: str, name: str) -> None:
-    """Outside tests nothing happens between the steps."""
+    """The checkpoint outside tests: does nothing."""
 
 
 class DutyExecutor:
-    """Performs the actions of one tenure."""
+    """Performs the actions of a duty during one ownership of it."""
 
     def __init__(
         self,
@@ -73,14 +73,14 @@
             store, limits, tenure.record, claim.may_act, claim.lost, fence_unknown_outcomes=True
         )
         self.adopted = asyncio.Event()
-        self.actions: dict[str, asyncio.Task[ActionResult]] = {}  # under way, by name
-        self.results: OrderedDict[str, ActionResult] = OrderedDict()  # latest, by name
+        self.actions: dict[str, asyncio.Task[ActionResult]] = {}  # in progress, by name
+        self.results: OrderedDict[str, ActionResult] = OrderedDict()  # latest results, by name
 
     async def run(self) -> None:
-        """Finish what an earlier holder left, then serve until the tenure is over."""
+        """Finish the actions of earlier holders, then accept requests until the ownership ends."""
         writing = asyncio.create_task(self.writer.run())
         try:
-            await self._finish_unfinished()
+            await self._finish_earlier_actions()
             self.adopted.set()
             await writing
         finally:
@@ -90,14 +90,14 @@
                 action.cancel()
             await asyncio.gather(writing, *self.actions.values(), return_exceptions=True)
 
-    async def _finish_unfinished(self) -> None:
+    async def _finish_earlier_actions(self) -> None:
         while True:
             try:
                 items, _ = await self.store.scan(self.duty.action_prefix)
                 break
             except StoreError as exc:
                 log.info(
-                    "duty %s: reading unfinished actions failed and is repeated: %s",
+                    "duty %s: reading unfinished actions failed, retrying: %s",
                     self.duty.value,
                     exc,
                 )
@@ -107,21 +107,21 @@
             intent = msgspec.convert(item.value, ActionIntent)
             self.writer.versions[item.key] = item.version
             log.info(
-                "duty %s: finishing action %s, committed with token %d",
+                "duty %s: finishing action %s that fencing token %d left unfinished",
                 self.duty.value,
                 name,
                 intent.token,
             )
-            self._begin(name, self._finish(name, intent))
+            self._start(name, self._finish(name, intent))
         while self.actions:
             await asyncio.wait(self.actions.values())
             await asyncio.sleep(0)
 
-    def _begin(self, name: str, work: Coroutine[Any, Any, ActionResult]) -> None:
+    def _start(self, name: str, work: Coroutine[Any, Any, ActionResult]) -> None:
         task = self.actions[name] = asyncio.create_task(work)
-        task.add_done_callback(lambda done: self._ended(name, done))
+        task.add_done_callback(lambda done: self._on_action_done(name, done))
 
-    def _ended(self, name: str, done: asyncio.Task[ActionResult]) -> None:
+    def _on_action_done(self, name: str, done: asyncio.Task[ActionResult]) -> None:
         del self.actions[name]
         if done.cancelled():
             return
@@ -131,13 +131,13 @@
                 log.error("duty %s: action %s failed", self.duty.value, name, exc_info=error)
             return
         if done.result().outcome is Outcome.REFUSED:
-            return  # nothing was committed: a repeated request may succeed
+            return  # not kept: nothing was committed, so a repeated request may succeed
         self.results[name] = done.result()
         if len(self.results) > constants.DUTY_RESULTS_KEPT:
             self.results.popitem(last=False)
 
     async def perform(self, request: ActionRequest) -> ActionResult:
-        """Carry a request out; PENDING if that takes longer than the leader waits."""
+        """Carry out a request; PENDING if that takes longer than the leader waits."""
         if request.token != self.tenure.holder.token:
             return ActionResult(Outcome.REFUSED, why="another token holds the duty")
         known = self.results.get(request.name)
@@ -151,7 +151,7 @@
             if len(self.actions) >= constants.DUTY_ACTS_MOST:
                 return ActionResult(Outcome.REFUSED, why="too many actions are unfinished")
             work = self._write(request) if request.write is not None else self._commit(request)
-            self._begin(request.name, work)
+            self._start(request.name, work)
         action = self.actions[request.name]
         done, _ = await asyncio.wait([action], timeout=constants.DUTY_WAIT_S)
         if not done or action.cancelled() or action.exception() is not None:
@@ -159,7 +159,7 @@
         return action.result()
 
     async def _write(self, request: ActionRequest) -> ActionResult:
-        """A transaction in the state service: its commit is the action, without an intent."""
+        """Commit a transaction in the state service, which is the action and needs no intent."""
         transaction = request.write
         assert transaction is not None
         ops: list[Put | Delete] = [Put(put.key, put.value) for put in transaction.puts]
@@ -172,11 +172,11 @@
         except InvalidTransactionError as exc:
             return ActionResult(Outcome.INVALID, why=str(exc))
         for op in ops:
-            self.writer.versions.pop(op.key, None)  # the leader names the versions
+            self.writer.versions.pop(op.key, None)  # the leader's requests state the versions
         return ActionResult(Outcome.DONE, revision=revision)
 
     async def _commit(self, request: ActionRequest) -> ActionResult:
-        """An action on the cloud: its intent first, so that a successor can finish it."""
+        """Perform an action on the cloud; its intent comes first, so a new holder can finish it."""
         key = self.duty.action_prefix + request.name
         token = self.tenure.holder.token
         intent = ActionIntent(token, request.term, request.provision, request.deletion)
@@ -192,7 +192,7 @@
         return await self._finish(request.name, intent)
 
     async def _finish(self, name: str, intent: ActionIntent) -> ActionResult:
-        """Carry out, repeated until the cloud answers, then delete the intent."""
+        """Carry out the action, retried until the cloud responds, then delete the intent."""
         while (result := await self._carry_out(intent)) is None:
             await asyncio.sleep(constants.TICK_S)
         await self.checkpoint("carried out", name)
@@ -200,9 +200,9 @@
         return result
 
     async def _carry_out(self, intent: ActionIntent) -> ActionResult | None:
-        """None if it has to be repeated."""
+        """One attempt to carry out the action; None if it has to be repeated."""
         if not self.claim.may_act():
-            return None  # the state service may still have our lease, and renew it
+            return None  # the lease may still exist in the state service: a renewal makes it valid
         try:
             if intent.provision is not None:
                 return ActionResult(Outcome.DONE, await self.cloud.provision(intent.provision))
@@ -212,5 +212,5 @@
         except NoCapacityError:
             return ActionResult(Outcome.NO_CAPACITY)
         except CloudError as exc:
-            log.info("duty %s: an action is repeated: %s", self.duty.value, exc)
+            log.info("duty %s: a cloud request failed, retrying: %s", self.duty.value, exc)
             return None
--- a/peathall/duties/gate.py
+++ b/peathall/duties/gate.py
@@ -1,8 +1,9 @@
-"""Which controllers may lead while duties are on: none that would act beside the holders.
+"""Which controllers may become leader while duties are on: only those that delegate to holders.
 
-The record that duties are on is a condition of every campaign's commit, so it is written and
-checked in one step with the leader key: a controller whose operator has not switched duties on
-cannot become leader while that record exists.
+A leader without duties would call the cloud itself while holders do so as well. Therefore the
+record `duties/on` is a condition of every campaign's commit: a controller on which duties are not
+enabled cannot become leader while that record exists. The first leader that has duties enabled
+writes the record in the same commit as the leader key.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 class DutyGate:
-    """The terms on which this controller campaigns."""
+    """Sets the conditions on which this controller campaigns for leadership."""
 
     def __init__(self, store: StoreClient, mode: Mode) -> None:
         self.store = store
@@ -27,7 +28,7 @@
         self._logged = False
 
     async def terms(self) -> CampaignTerms:
-        """Conditions and puts of a campaign's commit; raises StoreError."""
+        """Conditions and writes of the next campaign's commit; raises StoreError."""
         if self.mode is Mode.OFF:
             return CampaignTerms({ENABLED_KEY: 0})
         item = await self.store.get(ENABLED_KEY, prioritized=True)
@@ -38,11 +39,16 @@
         return CampaignTerms({ENABLED_KEY: 0}, [Put(ENABLED_KEY, {"on": True})], delegates=True)
 
     def refused(self, failed: list[str]) -> bool:
-        """Whether a campaign failed since duties are on, which only operators can change; `failed`
-        are the keys whose conditions did not hold."""
+        """Whether a campaign failed because duties are on, which only operators can change.
+
+        `failed`: the keys whose conditions did not hold.
+        """
         if self.mode is not Mode.OFF or ENABLED_KEY not in failed:
             return False
         if not self._logged:
-            log.error("this controller does not campaign: duties are on, but off in its settings")
+            log.error(
+                "duties: this controller cannot become leader, since duties are on in the state"
+                " service and off in its settings"
+            )
             self._logged = True
         return True
--- a/peathall/duties/holders.py
+++ b/peathall/duties/holders.py
@@ -1,4 +1,4 @@
-"""The way from a leader to the holders of duties, and why work waits for them."""
+"""Requests from a leader to the holders of duties, and the reasons why work waits for holders."""
 
 from __future__ import annotations
 
@@ -20,36 +20,36 @@
 from peathall.http.client import NoAnswerError
 from peathall.protocol.codec import struct_to_builtins
 
-# Sends a message (name of a controller, path, body, timeout in s) to another controller; gives
-# status and body of its answer, or raises NoAnswerError.
+# Sends a message (name of a controller, path, body, timeout in s) to another controller; returns
+# status and body of the response, or raises NoAnswerError.
 Send = Callable[[str, str, bytes, float], Awaitable[tuple[int, bytes]]]
 
-# Performs a request at this controller.
+# Carries out a request at this controller.
 Perform = Callable[[ActionRequest], Awaitable[ActionResult]]
 
 
 class WaitingReasons:
-    """Why work waits, by duty, as it was last found out. Operators see the texts."""
+    """The latest reasons why work of a duty waits, as texts for operators."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._found: dict[Duty, tuple[str, float]] = {}  # reason, and steady time of finding it
+        self._noted: dict[Duty, tuple[str, float]] = {}  # reason, and monotonic time of noting it
 
-    def note(self, duty: Duty, why: str) -> None:
-        """Work of the duty waits, for this reason."""
-        self._found[duty] = (why, self._loop.time())
+    def note(self, duty: Duty, reason: str) -> None:
+        """Record the reason why work of the duty waits."""
+        self._noted[duty] = (reason, self._loop.time())
 
     def clear(self, duty: Duty) -> None:
-        """Work of the duty was done."""
-        self._found.pop(duty, None)
+        """Forget the reason, since work of the duty was done."""
+        self._noted.pop(duty, None)
 
     def recent(self) -> dict[str, str]:
-        """Reasons by duty, without old ones: what waits is tried again every second."""
+        """Reasons by duty, without outdated ones: waiting work is retried every second."""
         now = self._loop.time()
         return {
-            duty.value: why
-            for duty, (why, at) in self._found.items()
-            if now - at < constants.DUTY_WAITING_S
+            duty.value: reason
+            for duty, (reason, noted_at) in self._noted.items()
+            if now - noted_at < constants.DUTY_WAITING_S
         }
 
 
@@ -57,7 +57,7 @@
     """Sends requests to the holders of duties, for one leader term."""
 
     def __init__(self, name: str, board: DutyBoard, send: Send, perform: Perform) -> None:
-        """`name`: of this controller, whose own executors are reached by `perform`."""
+        """`name`: of this controller, which carries out its own requests through `perform`."""
         self._name = name
         self._board = board
         self._send = send
@@ -65,11 +65,14 @@
         self.waiting = WaitingReasons()
 
     def current(self, duty: Duty) -> HolderRecord | None:
-        """The holder, as far as is known here; None if the duty has none."""
+        """The holder known to this controller; None if the duty has no holder."""
         return self._board.holders.get(duty)
 
     async def ask(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
-        """The holder's answer; PENDING if there is none, since it may have got the request."""
+        """Send a request and return the holder's result.
+
+        PENDING if there is no response, since the holder may have received the request.
+        """
         if holder.member == self._name:
             return await self._perform(request)
         try:
--- a/peathall/duties/retirement.py
+++ b/peathall/duties/retirement.py
@@ -1,4 +1,4 @@
-"""Taking duties out of use: the leader waits for what is unfinished, then switches them off."""
+"""Switching duties off: the leader first waits until no action is unfinished."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Retirement:
-    """Deletes the record that duties are on, once no action is unfinished and no duty is held."""
+    """Deletes the record `duties/on` once no action is unfinished and no duty has a holder."""
 
     def __init__(
         self, store: StoreClient, board: DutyBoard, release_claims: Callable[[], None]
@@ -26,29 +26,33 @@
         self._store = store
         self._board = board
         self._release_claims = release_claims
-        # An earlier holder left actions unfinished: they must be claimed for to be finished.
+        # Whether actions are unfinished: then duties are still claimed, so that their new holders
+        # finish these actions.
         self.has_unfinished = False
 
-    async def run(self, writer: Writer, on_off: Callable[[], None]) -> None:
-        """While we lead: switch duties off and call `on_off`. Ends only by cancellation."""
+    async def run(self, writer: Writer, on_disabled: Callable[[], None]) -> None:
+        """As leader: switch duties off and call `on_disabled`. Ends only by cancellation."""
         while not (await self._all_finished() and await self._switch_off(writer)):
             await asyncio.sleep(constants.TICK_S)
-        on_off()
+        on_disabled()
         await asyncio.Event().wait()
 
     async def _all_finished(self) -> bool:
         try:
             items: list[KeyValue] = (await self._store.scan(ACTION_PREFIX))[0]
         except StoreError as exc:
-            log.debug("reading unfinished actions failed and is repeated: %s", exc)
+            log.debug("duties: reading unfinished actions failed, retrying: %s", exc)
             return False
         self.has_unfinished = bool(items)
         return not items
 
     async def _switch_off(self, writer: Writer) -> bool:
-        """Only while no duty has a holder: the leader must not act beside one."""
+        """Switch duties off, on the condition that no duty has a holder; whether that succeeded.
+
+        From then on the leader calls the cloud itself, which it must not do beside a holder.
+        """
         if not self._board.enabled_version:
-            return False  # not read yet
+            return False  # the record has not been read yet
         self._release_claims()
         conditions = {duty.holder_key: 0 for duty in Duty}
         conditions[ENABLED_KEY] = self._board.enabled_version
@@ -56,5 +60,5 @@
             await writer.submit([Delete(ENABLED_KEY)], conditions)
         except ConflictError:
             return False
-        log.info("duties are off: this leader acts on the cloud itself")
+        log.info("duties: switched off, this leader calls the cloud itself from now on")
         return True
--- a/peathall/duties/settings.py
+++ b/peathall/duties/settings.py
@@ -1,4 +1,4 @@
-"""The `duties` section of the operators' file; its names are what operators write."""
+"""The `duties` section of the operators' file; field names are the names used in the file."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     """Whether this controller takes part in duties, which it may hold, and their lease in s."""
 
     mode: Mode = Mode.ON
-    hold: list[Duty] = []  # none named: all
+    hold: list[Duty] = []  # empty: all
     lease_s: LeaseSeconds = 5.0
 
     def held(self) -> list[Duty]:
--- a/peathall/duties/status.py
+++ b/peathall/duties/status.py
@@ -1,4 +1,4 @@
-"""The status of duties, as operators see it; it is sent as JSON under these field names."""
+"""The status of duties for operators; it is sent as JSON under these field names."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class DutyStatus(Struct):
-    """One duty."""
+    """The status of one duty."""
 
     duty: str
     holder: str | None
@@ -25,11 +25,11 @@
     token: int
     outstanding: list[str]  # names of unfinished actions
     handovers: list[Handover]
-    waiting: str | None = None  # why work waits, if it does
+    waiting: str | None = None  # why work of the duty waits; None if it does not
 
 
 class DutiesStatus(Struct):
-    """All duties, as the state service has them."""
+    """The status of all duties, from the records in the state service."""
 
     answered_by: str
     leader: str | None
@@ -40,7 +40,7 @@
 def describe(
     answered_by: str, items: list[KeyValue], leader: str | None, waiting: dict[str, str]
 ) -> DutiesStatus:
-    """The status that these records show; `waiting` are the reasons why work waits, by duty."""
+    """The status given by these records; `waiting`: the reasons why work waits, by duty."""
     values = {item.key: item.value for item in items}
     found = [_describe_one(duty, values, waiting) for duty in Duty]
     return DutiesStatus(answered_by, leader, ENABLED_KEY in values, found)
@@ -52,7 +52,7 @@
     token_record = msgspec.convert(values.get(duty.token_key, {}), TokenRecord)
     unfinished = [key for key in values if key.startswith(duty.action_prefix)]
     for key in unfinished:
-        msgspec.convert(values[key], ActionIntent)  # a damaged record is an error
+        msgspec.convert(values[key], ActionIntent)  # raises if the record is damaged
     return DutyStatus(
         duty.value,
         holder.member if holder is not None else None,
--- a/peathall/duties/term.py
+++ b/peathall/duties/term.py
@@ -1,7 +1,7 @@
-"""Duties, as the leader of one term uses them.
+"""Duties as the leader of one term uses them.
 
-It imports nothing of the other modules of this package: a controller without duties must not spend
-the memory for them.
+This module imports no other module of the package at run time, since a controller without duties
+must not spend the memory for them.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class TermDuties:
-    """Delegates work of one term's leader to the holders of duties."""
+    """Delegates work of a leader to the holders of duties, for one term."""
 
     def __init__(self, duties: Duties, term: int, writer: Writer) -> None:
         self._duties = duties
@@ -41,12 +41,14 @@
         return self._delegation.cleanup
 
     async def pending_deletions(self) -> set[str]:
-        """Machines in deletions that are not known to be finished; StoreError."""
+        """Names of the machines in unfinished deletions; raises StoreError."""
         return await self._duties.pending_deletions()
 
     def loops(self, on_retired: Callable[[], None]) -> Iterator[Coroutine[Any, Any, None]]:
-        """What runs as long as the term does. `on_retired`: duties have been taken out of use,
-        and the leader acts on the cloud itself from now on."""
+        """Background work, run until the end of the term.
+
+        `on_retired` is called once duties are switched off, when the leader calls the cloud itself.
+        """
         yield self._delegation.run()
         if self._duties.retiring:
             yield self._duties.retire(self._writer, lambda: self._act_directly(on_retired))
--- a/peathall/duties/writes.py
+++ b/peathall/duties/writes.py
@@ -1,8 +1,8 @@
-"""The leader's side of duties that only write to the state service: compaction and cleanup.
+"""How the leader delegates duties that only write to the state service: compaction and cleanup.
 
-What the leader would write when its rate limit has capacity to spare goes to the holder of the duty
-instead. The holder's commit is conditional on its own record, on the leader key, and on every
-record that it changes. The action is the commit, so it needs no intent before it.
+Writes that the leader would defer until its rate limit has spare capacity go to the holder of the
+duty instead. The holder's commit is conditional on the holder's record, on the leader key, and on
+every record that it changes. The commit is the whole action, so it needs no intent.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class DelegatedWrites:
-    """Deferred writes of one duty: they are sent to its holder, one batch at a time."""
+    """Deferred writes of one duty, sent to its holder one batch at a time."""
 
     def __init__(
         self,
@@ -41,20 +41,20 @@
         may_act: Callable[[], bool],
         holders: Holders,
     ) -> None:
-        """`may_act`: whether the leader is sure of its lease."""
+        """`may_act`: whether the leader's lease is still valid by its own clock."""
         self.duty = duty
         self.term = term
         self.writer = writer
         self.may_act = may_act
         self.holders = holders
-        self.direct = False  # the leader writes by itself again
+        self.direct = False  # whether the leader commits these writes itself, since duties are off
         self._deferred: dict[str, Callable[[], Mutation | None]] = {}
-        self._again: list[Mutation] = []  # made already, and to be part of the next batch
+        self._carried_over: list[Mutation] = []  # created already, to be sent in the next batch
         self._wake = asyncio.Event()
-        self._number = 0
+        self._request_count = 0
 
     def defer(self, name: str, make: Callable[[], Mutation | None], bounded: bool = False) -> None:
-        """As the writer's `defer`: deferred again under its name it is still written once."""
+        """Like the writer's `defer`: a write deferred twice under the same name is written once."""
         if self.direct:
             self.writer.defer(name, make, bounded)
             return
@@ -62,63 +62,65 @@
         self._wake.set()
 
     def defer_delete(self, key: str) -> None:
-        """Delete a record, when there is capacity to spare."""
+        """Delete a record when there is spare capacity."""
         self.defer(f"drop {key}", lambda: Mutation({}, [Delete(key)]))
 
     async def run(self) -> None:
-        """Send what is deferred to the holder, until cancelled at the end of the term."""
+        """Send deferred writes to the holder, until cancelled at the end of the term."""
         while True:
-            if not (self._deferred or self._again):
+            if not (self._deferred or self._carried_over):
                 self._wake.clear()
                 await self._wake.wait()
-            batch = self._take()
+            batch = self._next_batch()
             if batch:
-                await self._send(batch)
+                await self._commit(batch)
 
     def act_directly(self) -> None:
-        """Duties are off: what waits goes to the leader's writer."""
+        """Duties are off: pass the deferred writes to the leader's own writer."""
         self.direct = True
         for name, make in self._deferred.items():
             self.writer.defer(name, make)
         self._deferred.clear()
 
-    def _take(self) -> list[Mutation]:
+    def _next_batch(self) -> list[Mutation]:
         batch = Batch(self.writer.limits)
-        self._again = [change for change in self._again if not batch.add(change)]
+        self._carried_over = [
+            mutation for mutation in self._carried_over if not batch.add(mutation)
+        ]
         for name in list(self._deferred):
-            if self._again or batch.is_full:
+            if self._carried_over or batch.is_full:
                 break
-            change = self._deferred.pop(name)()
-            if change is not None and not batch.add(change):
-                self._again.append(change)
+            mutation = self._deferred.pop(name)()
+            if mutation is not None and not batch.add(mutation):
+                self._carried_over.append(mutation)
         return batch.mutations
 
-    def _request(self, batch: list[Mutation]) -> ActionRequest:
-        self._number += 1
+    def _build_request(self, batch: list[Mutation]) -> ActionRequest:
+        self._request_count += 1
         conditions: dict[str, int] = {}
         puts: list[StoredValue] = []
         deletes: list[str] = []
-        for change in batch:
-            for op in change.ops:
+        for mutation in batch:
+            for op in mutation.ops:
                 conditions[op.key] = self.writer.versions.get(op.key, 0)
                 if isinstance(op, Put):
                     puts.append(StoredValue(op.key, op.value))
                 else:
                     deletes.append(op.key)
-            conditions.update(change.conditions)
-        name = f"w-{self.term}-{self._number}"
+            conditions.update(mutation.conditions)
+        name = f"w-{self.term}-{self._request_count}"
         transaction = StoreTransaction(name, conditions, puts, deletes)
         return ActionRequest(self.duty, 0, self.term, self.writer.guard.version, write=transaction)
 
-    async def _send(self, batch: list[Mutation]) -> None:
-        """Repeat the batch until its outcome is known: an unanswered request may be carried out."""
-        request, outcome_unknown = self._request(batch), False
+    async def _commit(self, batch: list[Mutation]) -> None:
+        """Send a batch to the holder, and repeat the request until its outcome is known."""
+        request, outcome_unknown = self._build_request(batch), False
         while True:
             if self.direct:
                 if not (outcome_unknown and await self._was_applied(batch, request)):
                     self.writer.enqueue(batch)
                 return
-            result = await self._ask(request)
+            result = await self._request_commit(request)
             if result.outcome is Outcome.DONE:
                 self.holders.waiting.clear(self.duty)
                 self.writer.mark_applied(batch, result.revision)
@@ -133,13 +135,13 @@
                 if LEADER_KEY not in result.failed:
                     self._split(batch, result.failed)
                     return
-                # The leader key was written anew as a fence; or another controller leads, and
-                # the term ends.
-                request = self._request(batch)
+                # This leader rewrote the leader key to fence off an earlier transaction, or another
+                # controller leads and this term is about to end.
+                request = self._build_request(batch)
             self.holders.waiting.note(self.duty, result.why)
             await asyncio.sleep(constants.STORE_RETRY_S if outcome_unknown else constants.TICK_S)
 
-    async def _ask(self, request: ActionRequest) -> ActionResult:
+    async def _request_commit(self, request: ActionRequest) -> ActionResult:
         holder = self.holders.current(self.duty)
         if holder is None:
             return ActionResult(Outcome.REFUSED, why="nobody holds the duty")
@@ -148,9 +150,9 @@
         return await self.holders.ask(holder, request.addressed_to(holder))
 
     async def _was_applied(self, batch: list[Mutation], request: ActionRequest) -> bool:
-        """Find out whether a request of unknown outcome was committed; marks it if so."""
+        """Whether a request of unknown outcome was committed; if so, mark the batch as applied."""
         assert request.write is not None
-        ops = [op for change in batch for op in change.ops]
+        ops = [op for mutation in batch for op in mutation.ops]
         conditions = request.write.conditions | {LEADER_KEY: request.leader_version}
         revision = await self.writer.resolve_outcome(ops, conditions)
         if revision:
@@ -158,15 +160,19 @@
         return revision > 0
 
     async def _fail_invalid(self, batch: list[Mutation], result: ActionResult) -> None:
-        log.error("duty %s: the state service rejects a commit: %s", self.duty.value, result.why)
+        log.error(
+            "duty %s: the state service rejected a transaction as invalid: %s",
+            self.duty.value,
+            result.why,
+        )
         if len(batch) == 1:
             fail_mutations(batch, InvalidTransactionError(result.why))
             return
-        for change in batch:
-            await self._send([change])
+        for mutation in batch:
+            await self._commit([mutation])
 
     def _split(self, batch: list[Mutation], failed: list[str]) -> None:
-        """Conditions did not hold: fail the mutations with them, send the others again."""
+        """Fail the mutations that touch a key whose condition failed, and send the others again."""
         bad, rest = partition_by_keys(batch, failed)
         fail_mutations(bad, ConflictError(failed))
-        self._again[:0] = rest
+        self._carried_over[:0] = rest
