--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -85,7 +85,7 @@
         self.loop = asyncio.get_running_loop()
         self.phase = DutyPhase.FOLLOWING
         self.tenure: Tenure | None = None
-        self._release = asyncio.Event()
+        self._release_requested = asyncio.Event()
 
     def _set_phase(self, phase: DutyPhase) -> None:
         if phase is not self.phase:
@@ -179,13 +179,13 @@
 
     async def _hold(self, tenure: Tenure) -> None:
         self.tenure = tenure
-        self._release = asyncio.Event()
+        self._release_requested = asyncio.Event()
         self._set_phase(DutyPhase.HOLDING)
         log.info("duty %s: claimed with fencing token %d", self.duty.value, tenure.holder.token)
         tasks = [
             asyncio.create_task(self._renew(tenure)),
             asyncio.ensure_future(self.claimant.hold(self.duty, tenure)),
-            asyncio.create_task(self._release.wait()),
+            asyncio.create_task(self._release_requested.wait()),
         ]
         try:
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
@@ -200,7 +200,7 @@
                         self.duty.value,
                         exc_info=result,
                     )
-        await self.give_up()
+        await self.release_now()
 
     async def _renew(self, tenure: Tenure) -> None:
         """Renew the lease; returns when it has expired.
@@ -230,13 +230,13 @@
 
     def lost(self) -> None:
         """Called when a commit was rejected because this controller no longer holds the duty."""
-        self._release.set()
+        self._release_requested.set()
 
-    def release(self) -> None:
+    def request_release(self) -> None:
         """Start releasing the duty, so that another controller can claim it at once."""
-        self._release.set()
+        self._release_requested.set()
 
-    async def give_up(self) -> None:
+    async def release_now(self) -> None:
         """Revoke the lease of this controller, if there is one.
 
         Also after a rejected commit: the lease may still be valid in the state service.
--- a/peathall/duties/delegate.py
+++ b/peathall/duties/delegated_cloud.py
@@ -7,7 +7,7 @@
 
 from peathall import constants
 from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
-from peathall.duties.holders import Holders
+from peathall.duties.holder_client import HolderClient
 from peathall.duties.model import (
     ActionRequest,
     ActionResult,
@@ -21,11 +21,13 @@
 class DelegatedCloud:
     """Cloud actions that the holders of the duties carry out; CloudError if there is no holder."""
 
-    def __init__(self, term: int, leader_version: Callable[[], int], holders: Holders) -> None:
+    def __init__(
+        self, term: int, leader_version: Callable[[], int], holder_client: HolderClient
+    ) -> None:
         """`leader_version`: version of the leader key, a condition of the holders' commits."""
         self._term = term
         self._leader_version = leader_version
-        self._holders = holders
+        self._holder_client = holder_client
         self._deletion_count = 0  # numbers the deletions of this term
         self._deletion: Deletion | None = None  # requested and not known to be done
         self._concurrency = asyncio.Semaphore(constants.DUTY_ASKS_AT_ONCE)
@@ -36,7 +38,7 @@
         Raises CloudError or NoCapacityError.
         """
         holder = self._holder(Duty.SCALE_OUT)
-        result = await self._ask(
+        result = await self._send_request(
             holder,
             ActionRequest(
                 Duty.SCALE_OUT, holder.token, self._term, self._leader_version(), provision=request
@@ -61,7 +63,7 @@
                 self._deletion = Deletion(name, [m for m in machines if m in waiting])
             deletion = self._deletion
             holder = self._holder(Duty.SCALE_IN)
-            await self._ask(
+            await self._send_request(
                 holder,
                 ActionRequest(
                     Duty.SCALE_IN,
@@ -75,19 +77,19 @@
             waiting -= set(deletion.machines)
 
     def _holder(self, duty: Duty) -> HolderRecord:
-        holder = self._holders.current(duty)
+        holder = self._holder_client.current(duty)
         if holder is None:
-            self._holders.waiting.note(duty, "nobody holds the duty")
+            self._holder_client.wait_reasons.note(duty, "nobody holds the duty")
             raise CloudError(f"duty {duty.value} waits: no controller holds it", sent=False)
         return holder
 
-    async def _ask(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
+    async def _send_request(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
         async with self._concurrency:
-            result = await self._holders.ask(holder, request)
+            result = await self._holder_client.send_request(holder, request)
         if result.outcome in (Outcome.DONE, Outcome.NO_CAPACITY):
-            self._holders.waiting.clear(request.duty)
+            self._holder_client.wait_reasons.clear(request.duty)
             return result
-        self._holders.waiting.note(request.duty, f"{holder.member}: {result.why}")
+        self._holder_client.wait_reasons.note(request.duty, f"{holder.member}: {result.why}")
         # Only PENDING means that this request may have been committed. After REFUSED, an earlier
         # request under the same name may still have been.
         sent = result.outcome is Outcome.PENDING
--- a/peathall/duties/writes.py
+++ b/peathall/duties/delegated_writes.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from peathall import constants
-from peathall.duties.holders import Holders
+from peathall.duties.holder_client import HolderClient
 from peathall.duties.model import (
     ActionRequest,
     ActionResult,
@@ -39,14 +39,14 @@
         term: int,
         writer: Writer,
         may_act: Callable[[], bool],
-        holders: Holders,
+        holder_client: HolderClient,
     ) -> None:
         """`may_act`: whether the leader's lease is still valid by its own clock."""
         self.duty = duty
         self.term = term
         self.writer = writer
         self.may_act = may_act
-        self.holders = holders
+        self.holder_client = holder_client
         self.direct = False  # whether the leader commits these writes itself, since duties are off
         self._deferred: dict[str, Callable[[], Mutation | None]] = {}
         self._carried_over: list[Mutation] = []  # created already, to be sent in the next batch
@@ -122,7 +122,7 @@
                 return
             result = await self._request_commit(request)
             if result.outcome is Outcome.DONE:
-                self.holders.waiting.clear(self.duty)
+                self.holder_client.wait_reasons.clear(self.duty)
                 self.writer.mark_applied(batch, result.revision)
                 return
             outcome_unknown = outcome_unknown or result.outcome is Outcome.PENDING
@@ -138,16 +138,16 @@
                 # This leader rewrote the leader key to fence off an earlier transaction, or another
                 # controller leads and this term is about to end.
                 request = self._build_request(batch)
-            self.holders.waiting.note(self.duty, result.why)
+            self.holder_client.wait_reasons.note(self.duty, result.why)
             await asyncio.sleep(constants.STORE_RETRY_S if outcome_unknown else constants.TICK_S)
 
     async def _request_commit(self, request: ActionRequest) -> ActionResult:
-        holder = self.holders.current(self.duty)
+        holder = self.holder_client.current(self.duty)
         if holder is None:
             return ActionResult(Outcome.REFUSED, why="nobody holds the duty")
         if not self.may_act():
             return ActionResult(Outcome.REFUSED, why="our lease on the lead is not sure")
-        return await self.holders.ask(holder, request.addressed_to(holder))
+        return await self.holder_client.send_request(holder, request.addressed_to(holder))
 
     async def _was_applied(self, batch: list[Mutation], request: ActionRequest) -> bool:
         """Whether a request of unknown outcome was committed; if so, mark the batch as applied."""
--- a/peathall/duties/delegation.py
+++ b/peathall/duties/delegation.py
@@ -6,9 +6,9 @@
 
 from msgspec import Struct
 
-from peathall.duties.delegate import DelegatedCloud
-from peathall.duties.holders import Holders
-from peathall.duties.writes import DelegatedWrites
+from peathall.duties.delegated_cloud import DelegatedCloud
+from peathall.duties.delegated_writes import DelegatedWrites
+from peathall.duties.holder_client import HolderClient
 
 
 class Delegation(Struct, frozen=True):
@@ -17,7 +17,7 @@
     cloud: DelegatedCloud
     compaction: DelegatedWrites
     cleanup: DelegatedWrites
-    holders: Holders
+    holders: HolderClient
 
     async def run(self) -> None:
         """Send deferred writes to the holders, until cancelled at the end of the term."""
--- a/peathall/duties/duties.py
+++ b/peathall/duties/duties.py
@@ -16,10 +16,11 @@
 from peathall.config.platform import Settings
 from peathall.duties.board import DutyBoard
 from peathall.duties.claim import DutyClaim, Tenure
-from peathall.duties.delegate import DelegatedCloud
+from peathall.duties.delegated_cloud import DelegatedCloud
+from peathall.duties.delegated_writes import DelegatedWrites
 from peathall.duties.delegation import Delegation
 from peathall.duties.executor import Checkpoint, DutyExecutor, no_checkpoint
-from peathall.duties.holders import Holders, Send
+from peathall.duties.holder_client import HolderClient, SendMessage
 from peathall.duties.model import (
     ACTION_PREFIX,
     DUTIES_PREFIX,
@@ -33,7 +34,6 @@
 from peathall.duties.retirement import Retirement
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, describe
-from peathall.duties.writes import DelegatedWrites
 from peathall.http.client import NoAnswerError
 from peathall.leadership.records import LEADER_KEY, LeaderRecord
 from peathall.protocol.codec import struct_to_builtins
@@ -47,9 +47,9 @@
     def __init__(
         self,
         settings: Settings,
-        own: DutySettings,
+        duty_settings: DutySettings,
         store: StoreClient,
-        send: Send,
+        send: SendMessage,
         leads: Callable[[], bool],
         wall: Callable[[], float],
         rng: random.Random,
@@ -57,7 +57,7 @@
     ) -> None:
         """`leads`: whether this controller leads; `wall`: the wall clock."""
         self.settings = settings
-        self.own = own
+        self.duty_settings = duty_settings
         self.store = store
         self.send = send
         self.leads = leads
@@ -66,9 +66,16 @@
         self.executors: dict[Duty, DutyExecutor] = {}
         self.claims = {
             duty: DutyClaim(
-                duty, settings.name, store, self.board, own.lease_s, wall, rng, claimant=self
+                duty,
+                settings.name,
+                store,
+                self.board,
+                duty_settings.lease_s,
+                wall,
+                rng,
+                claimant=self,
             )
-            for duty in own.held()
+            for duty in duty_settings.held()
         }
         self._delegation: Delegation | None = None  # of the latest term that this controller led
         self._retirement = Retirement(store, self.board, self._release_claims)
@@ -86,7 +93,7 @@
 
         While duties are being retired, only to finish actions of earlier holders.
         """
-        return self.own.mode is Mode.ON or self._retirement.has_unfinished
+        return self.duty_settings.mode is Mode.ON or self._retirement.has_unfinished
 
     def claim_delay_s(self) -> float:
         """Seconds to leave a free duty to others; longer if this controller leads or holds any."""
@@ -120,22 +127,22 @@
 
     def _release_claims(self) -> None:
         for claim in self.claims.values():
-            claim.release()
+            claim.request_release()
 
     async def release_all(self) -> None:
         """Release all duties and claim none again, so that others can claim them at once."""
-        self.own = msgspec.structs.replace(self.own, mode=Mode.RETIRING)
+        self.duty_settings = msgspec.structs.replace(self.duty_settings, mode=Mode.RETIRING)
         for claim in self.claims.values():
-            await claim.give_up()
+            await claim.release_now()
 
     # --- leading -------------------------------------------------------------
     def delegate(self, term: int, writer: Writer) -> Delegation:
         """Set up delegation to the holders, for this term of this controller as leader."""
-        holders = Holders(self.settings.name, self.board, self.send, self.perform)
-        cloud = DelegatedCloud(term, lambda: writer.guard.version, holders)
-        compaction = DelegatedWrites(Duty.COMPACTION, term, writer, self.leads, holders)
-        cleanup = DelegatedWrites(Duty.CLEANUP, term, writer, self.leads, holders)
-        self._delegation = Delegation(cloud, compaction, cleanup, holders)
+        holder_client = HolderClient(self.settings.name, self.board, self.send, self.perform)
+        cloud = DelegatedCloud(term, lambda: writer.guard.version, holder_client)
+        compaction = DelegatedWrites(Duty.COMPACTION, term, writer, self.leads, holder_client)
+        cleanup = DelegatedWrites(Duty.CLEANUP, term, writer, self.leads, holder_client)
+        self._delegation = Delegation(cloud, compaction, cleanup, holder_client)
         return self._delegation
 
     async def pending_deletions(self) -> set[str]:
@@ -147,7 +154,7 @@
     @property
     def retiring(self) -> bool:
         """Whether this controller, when it leads, switches duties off."""
-        return self.own.mode is Mode.RETIRING
+        return self.duty_settings.mode is Mode.RETIRING
 
     async def retire(self, writer: Writer, done: Callable[[], None]) -> None:
         """As leader: switch duties off, then call `done`. Ends only by cancellation."""
@@ -162,7 +169,7 @@
         if path == "/duties":
             return 200, struct_to_builtins(await self.status())
         if path == "/duties/waiting":
-            return 200, self._waiting()
+            return 200, self._wait_reasons()
         try:
             request = msgspec.convert(orjson.loads(raw), ActionRequest)
         except (orjson.JSONDecodeError, msgspec.ValidationError):
@@ -182,18 +189,18 @@
         actions, _ = await self.store.scan(ACTION_PREFIX)
         item = await self.store.get(LEADER_KEY)
         leader = msgspec.convert(item.value, LeaderRecord).member if item is not None else None
-        waiting = self._waiting()
+        waiting = self._wait_reasons()
         if leader is not None and leader != self.settings.name:
-            waiting = await self._ask_waiting(leader)
+            waiting = await self._fetch_wait_reasons(leader)
         return describe(self.settings.name, [*duties, *actions], leader, waiting)
 
-    def _waiting(self) -> dict[str, str]:
+    def _wait_reasons(self) -> dict[str, str]:
         """Reasons why work waits, by duty; empty if this controller does not lead."""
         if self._delegation is None or not self.leads():
             return {}
-        return self._delegation.holders.waiting.recent()
+        return self._delegation.holders.wait_reasons.recent()
 
-    async def _ask_waiting(self, leader: str) -> dict[str, str]:
+    async def _fetch_wait_reasons(self, leader: str) -> dict[str, str]:
         try:
             _, raw = await self.send(leader, "/duties/waiting", b"", constants.DUTY_WAIT_S)
             return msgspec.convert(orjson.loads(raw), dict[str, str])
--- a/peathall/duties/holders.py
+++ b/peathall/duties/holder_client.py
@@ -22,13 +22,13 @@
 
 # Sends a message (name of a controller, path, body, timeout in s) to another controller; returns
 # status and body of the response, or raises NoAnswerError.
-Send = Callable[[str, str, bytes, float], Awaitable[tuple[int, bytes]]]
+SendMessage = Callable[[str, str, bytes, float], Awaitable[tuple[int, bytes]]]
 
 # Carries out a request at this controller.
-Perform = Callable[[ActionRequest], Awaitable[ActionResult]]
+PerformAction = Callable[[ActionRequest], Awaitable[ActionResult]]
 
 
-class WaitingReasons:
+class WaitReasons:
     """The latest reasons why work of a duty waits, as texts for operators."""
 
     def __init__(self) -> None:
@@ -53,22 +53,24 @@
         }
 
 
-class Holders:
+class HolderClient:
     """Sends requests to the holders of duties, for one leader term."""
 
-    def __init__(self, name: str, board: DutyBoard, send: Send, perform: Perform) -> None:
+    def __init__(
+        self, name: str, board: DutyBoard, send: SendMessage, perform: PerformAction
+    ) -> None:
         """`name`: of this controller, which carries out its own requests through `perform`."""
         self._name = name
         self._board = board
         self._send = send
         self._perform = perform
-        self.waiting = WaitingReasons()
+        self.wait_reasons = WaitReasons()
 
     def current(self, duty: Duty) -> HolderRecord | None:
         """The holder known to this controller; None if the duty has no holder."""
         return self._board.holders.get(duty)
 
-    async def ask(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
+    async def send_request(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
         """Send a request and return the holder's result.
 
         PENDING if there is no response, since the holder may have received the request.
--- a/peathall/duties/term.py
+++ b/peathall/duties/term.py
@@ -12,9 +12,9 @@
 from peathall.store.writer import Writer
 
 if TYPE_CHECKING:
-    from peathall.duties.delegate import DelegatedCloud
+    from peathall.duties.delegated_cloud import DelegatedCloud
+    from peathall.duties.delegated_writes import DelegatedWrites
     from peathall.duties.duties import Duties
-    from peathall.duties.writes import DelegatedWrites
 
 
 class TermDuties:
