--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -196,20 +196,20 @@
 JUST_STARTED_S = 6.0  # a controller that has just started reports itself healthy for so long
 
 # --- duties -------------------------------------------------------------------------------------
-DUTY_RENEWALS = 5.0  # attempts to renew a lease on a duty within its duration
-DUTY_LOOK_S = 2.0  # between checks for free duties, besides those that watch events cause
-DUTY_LEADER_PAUSE_S = 1.0  # the leader leaves a free duty to less busy controllers for so long
+DUTY_RENEWALS_PER_LEASE = 5.0  # attempts to renew a lease on a duty within its duration
+DUTY_CLAIM_CHECK_S = 2.0  # between checks for free duties, besides those that watch events cause
+DUTY_LEADER_PAUSE_S = 1.0  # the leader leaves a free duty to others: it has other work
 DUTY_HELD_PAUSE_S = 0.4  # added to that delay for each duty that a controller already holds
 DUTY_HANDOVERS_KEPT = 5  # latest claims in the record of the fencing token, for operators
 DUTY_RESULTS_KEPT = 1000  # for repeated requests; each result takes at most some 1 KiB
-DUTY_ACTS_MOST = 200  # unfinished at a time: up to 10,000 new machines or 20,000 deletions
-DUTY_WAITING_S = 10.0  # waiting work is retried every second, so an older reason is outdated
-DUTY_WAIT_S = 3.0  # a holder responds by then, with PENDING if the action is unfinished
-DUTY_ASK_S = 4.0  # timeout of a request to a holder, a little longer than that
-DUTY_ASKS_AT_ONCE = 16  # requests in progress to holders: each takes a socket on both sides
-DUTY_LEADER_WRITES = 0.5  # of the write rate, while holders write as well as the leader
+DUTY_MAX_ACTIONS = 200  # unfinished at a time: up to 10,000 new machines or 20,000 deletions
+DUTY_WAIT_REASON_MAX_AGE_S = 10.0  # waiting work is retried each second: older reasons are outdated
+DUTY_RESPONSE_S = 3.0  # a holder responds by then, with PENDING if the action is unfinished
+DUTY_REQUEST_TIMEOUT_S = 4.0  # timeout of a request to a holder, a little longer than that
+DUTY_MAX_CONCURRENT_REQUESTS = 16  # of a leader to holders: each takes a socket on both sides
+DUTY_LEADER_WRITE_SHARE = 0.5  # of the write rate, while holders write as well as the leader
 DUTY_CLOUD_SHARE = 0.3  # of the cloud's request rate, for each holder; the leader's list needs 0.4
-DUTY_CLAIM_STEP_S = 0.001  # about the resolution of timers: a shorter wait counts as over
+DUTY_TIMER_RESOLUTION_S = 0.001  # about the resolution of timers: a shorter wait counts as over
 
 # --- cells --------------------------------------------------------------------------------------
 CELL_HEARTBEAT_S = 1.0  # between heartbeats to each other cell: many attempts fit into any lease
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -74,7 +74,7 @@
             settings.services.state,
             settings.params.state,
             1 + len(settings.peers),
-            constants.LEADER_WRITE_SHARE if mode is Mode.OFF else constants.DUTY_LEADER_WRITES,
+            constants.LEADER_WRITE_SHARE if mode is Mode.OFF else constants.DUTY_LEADER_WRITE_SHARE,
         )
         gate = DutyGate(self.store, mode)
         self.election = Election(
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -19,7 +19,6 @@
 from msgspec import Struct
 
 from peathall import constants
-from peathall.duties.board import DutyBoard
 from peathall.duties.model import (
     ENABLED_KEY,
     Duty,
@@ -28,6 +27,7 @@
     HolderRecord,
     TokenRecord,
 )
+from peathall.duties.record_cache import DutyRecordCache
 from peathall.leadership.lease import LeaderLease
 from peathall.protocol.codec import struct_to_builtins
 from peathall.protocol.state_service import Put
@@ -38,7 +38,7 @@
 log = logging.getLogger("peathall.duties")
 
 
-class Tenure(Struct, frozen=True):
+class Ownership(Struct, frozen=True):
     """Ownership of a duty, from a successful claim to the end of the lease."""
 
     holder: HolderRecord  # with the fencing token
@@ -55,7 +55,7 @@
     def claim_delay_s(self) -> float:
         """Seconds for which this controller leaves a duty without a holder to other controllers."""
 
-    async def hold(self, duty: Duty, tenure: Tenure) -> None:
+    async def hold(self, duty: Duty, ownership: Ownership) -> None:
         """Perform the duty until cancelled."""
 
 
@@ -67,7 +67,7 @@
         duty: Duty,
         name: str,
         store: StoreClient,
-        board: DutyBoard,
+        record_cache: DutyRecordCache,
         lease_s: float,
         wall: Callable[[], float],
         rng: random.Random,
@@ -77,14 +77,14 @@
         self.duty = duty
         self.name = name
         self.store = store
-        self.board = board
+        self.record_cache = record_cache
         self.lease_s = lease_s
         self.wall = wall
         self.rng = rng
         self.claimant = claimant
         self.loop = asyncio.get_running_loop()
         self.phase = DutyPhase.FOLLOWING
-        self.tenure: Tenure | None = None
+        self.ownership: Ownership | None = None
         self._release_requested = asyncio.Event()
 
     def _set_phase(self, phase: DutyPhase) -> None:
@@ -97,7 +97,11 @@
     def may_act(self) -> bool:
         """Whether this controller's lease on the duty is valid by its own clock."""
         holding = self.phase in (DutyPhase.HOLDING, DutyPhase.RENEWAL_UNANSWERED)
-        return holding and self.tenure is not None and self.tenure.lease.is_valid(self.loop.time())
+        return (
+            holding
+            and self.ownership is not None
+            and self.ownership.lease.is_valid(self.loop.time())
+        )
 
     def may_begin(self) -> bool:
         """Whether a new action may start: not while the latest renewal is unanswered."""
@@ -114,38 +118,38 @@
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
     async def _claim_when_free(self) -> None:
-        holder = self.board.holders.get(self.duty)
+        holder = self.record_cache.holders.get(self.duty)
         if holder is not None and holder.member == self.name:
             # The record is from before this process started, or from a claim whose response was
             # lost. No executor performs the duty, so the lease is revoked.
             await self._revoke(holder.lease)
-            await self.board.changed(constants.STORE_RETRY_S)
+            await self.record_cache.changed(constants.STORE_RETRY_S)
         elif (
             holder is None
-            and self.board.known
-            and self.board.enabled_version
+            and self.record_cache.known
+            and self.record_cache.enabled_version
             and self.claimant.may_claim()
         ):
             if await self._stays_vacant():
                 await self._claim()
         else:
-            await self.board.changed(constants.DUTY_LOOK_S)
+            await self.record_cache.changed(constants.DUTY_CLAIM_CHECK_S)
 
     async def _stays_vacant(self) -> bool:
         """Whether no other controller claims the duty within this controller's claim delay."""
         began = self.loop.time()
         jitter = self.rng.random() * constants.CAMPAIGN_JITTER_S
         while (
-            self.duty not in self.board.holders
-            and self.board.enabled_version
+            self.duty not in self.record_cache.holders
+            and self.record_cache.enabled_version
             and self.claimant.may_claim()
         ):
             # The delay is computed anew each time: a new leader learns that duties are on before
             # it learns that it leads.
             left_s = began + jitter + self.claimant.claim_delay_s() - self.loop.time()
-            if left_s <= constants.DUTY_CLAIM_STEP_S:
+            if left_s <= constants.DUTY_TIMER_RESOLUTION_S:
                 return True
-            await self.board.changed(left_s)
+            await self.record_cache.changed(left_s)
         return False
 
     async def _claim(self) -> None:
@@ -153,7 +157,9 @@
         self._set_phase(DutyPhase.CLAIMING)
         item = await self.store.get(self.duty.token_key, prioritized=True)
         before = msgspec.convert(item.value, TokenRecord) if item is not None else TokenRecord()
-        vacant_s = self.loop.time() - self.board.vacant_since.get(self.duty, self.loop.time())
+        vacant_s = self.loop.time() - self.record_cache.vacant_since.get(
+            self.duty, self.loop.time()
+        )
         sent = self.loop.time()
         lease_id = await self.store.grant_lease(self.lease_s)
         token = before.token + 1
@@ -163,7 +169,7 @@
         conditions = {
             self.duty.holder_key: 0,
             self.duty.token_key: item.version if item is not None else 0,
-            ENABLED_KEY: self.board.enabled_version,
+            ENABLED_KEY: self.record_cache.enabled_version,
         }
         value = struct_to_builtins(holder)
         puts = [Put(self.duty.holder_key, value, lease_id)]
@@ -175,16 +181,16 @@
             self._set_phase(DutyPhase.FOLLOWING)
             return
         record = GuardKey(self.duty.holder_key, value, version, lease_id)
-        await self._hold(Tenure(holder, record, LeaderLease(self.lease_s, sent)))
+        await self._hold(Ownership(holder, record, LeaderLease(self.lease_s, sent)))
 
-    async def _hold(self, tenure: Tenure) -> None:
-        self.tenure = tenure
+    async def _hold(self, ownership: Ownership) -> None:
+        self.ownership = ownership
         self._release_requested = asyncio.Event()
         self._set_phase(DutyPhase.HOLDING)
-        log.info("duty %s: claimed with fencing token %d", self.duty.value, tenure.holder.token)
+        log.info("duty %s: claimed with fencing token %d", self.duty.value, ownership.holder.token)
         tasks = [
-            asyncio.create_task(self._renew(tenure)),
-            asyncio.ensure_future(self.claimant.hold(self.duty, tenure)),
+            asyncio.create_task(self._renew(ownership)),
+            asyncio.ensure_future(self.claimant.hold(self.duty, ownership)),
             asyncio.create_task(self._release_requested.wait()),
         ]
         try:
@@ -202,18 +208,18 @@
                     )
         await self.release_now()
 
-    async def _renew(self, tenure: Tenure) -> None:
+    async def _renew(self, ownership: Ownership) -> None:
         """Renew the lease; returns when it has expired.
 
         Renewals go on during an outage of the state service: after an outage, the state service
         gives every lease its full duration again.
         """
         while True:
-            pause = self.lease_s / constants.DUTY_RENEWALS
+            pause = self.lease_s / constants.DUTY_RENEWALS_PER_LEASE
             sent = self.loop.time()
             try:
-                await self.store.renew_lease(tenure.holder.lease, pause)
-                tenure.lease.record_renewal(sent)
+                await self.store.renew_lease(ownership.holder.lease, pause)
+                ownership.lease.record_renewal(sent)
                 self._set_phase(DutyPhase.HOLDING)
             except LeaseExpiredError:
                 log.info("duty %s: the lease has expired, releasing the duty", self.duty.value)
@@ -228,7 +234,7 @@
                 pause = constants.STORE_RETRY_S
             await asyncio.sleep(pause)
 
-    def lost(self) -> None:
+    def on_ownership_lost(self) -> None:
         """Called when a commit was rejected because this controller no longer holds the duty."""
         self._release_requested.set()
 
@@ -241,12 +247,12 @@
 
         Also after a rejected commit: the lease may still be valid in the state service.
         """
-        tenure, self.tenure = self.tenure, None
-        if tenure is None:
+        ownership, self.ownership = self.ownership, None
+        if ownership is None:
             return
         self._set_phase(DutyPhase.RELEASING)
-        await self._revoke(tenure.holder.lease)
-        log.info("duty %s: released, fencing token was %d", self.duty.value, tenure.holder.token)
+        await self._revoke(ownership.holder.lease)
+        log.info("duty %s: released, fencing token was %d", self.duty.value, ownership.holder.token)
         self._set_phase(DutyPhase.FOLLOWING)
 
     async def _revoke(self, lease_id: int) -> None:
--- a/peathall/duties/delegated_cloud.py
+++ b/peathall/duties/delegated_cloud.py
@@ -30,7 +30,7 @@
         self._holder_client = holder_client
         self._deletion_count = 0  # numbers the deletions of this term
         self._deletion: Deletion | None = None  # requested and not known to be done
-        self._concurrency = asyncio.Semaphore(constants.DUTY_ASKS_AT_ONCE)
+        self._concurrency = asyncio.Semaphore(constants.DUTY_MAX_CONCURRENT_REQUESTS)
 
     async def provision(self, request: ProvisionRequest, /) -> list[str]:
         """Have the holder of scale-out provision machines; returns their names.
--- a/peathall/duties/duties.py
+++ b/peathall/duties/duties.py
@@ -14,8 +14,7 @@
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.config.modes import Mode
 from peathall.config.platform import Settings
-from peathall.duties.board import DutyBoard
-from peathall.duties.claim import DutyClaim, Tenure
+from peathall.duties.claim import DutyClaim, Ownership
 from peathall.duties.delegated_cloud import DelegatedCloud
 from peathall.duties.delegated_writes import DelegatedWrites
 from peathall.duties.delegation import Delegation
@@ -31,6 +30,7 @@
     DutyPhase,
     Outcome,
 )
+from peathall.duties.record_cache import DutyRecordCache
 from peathall.duties.retirement import Retirement
 from peathall.duties.settings import DutySettings
 from peathall.duties.status import DutiesStatus, describe
@@ -62,14 +62,14 @@
         self.send = send
         self.leads = leads
         self.checkpoint = checkpoint
-        self.board = DutyBoard(store)
+        self.record_cache = DutyRecordCache(store)
         self.executors: dict[Duty, DutyExecutor] = {}
         self.claims = {
             duty: DutyClaim(
                 duty,
                 settings.name,
                 store,
-                self.board,
+                self.record_cache,
                 duty_settings.lease_s,
                 wall,
                 rng,
@@ -78,12 +78,12 @@
             for duty in duty_settings.held()
         }
         self._delegation: Delegation | None = None  # of the latest term that this controller led
-        self._retirement = Retirement(store, self.board, self._release_claims)
+        self._retirement = Retirement(store, self.record_cache, self._release_claims)
 
     async def run(self) -> None:
         """Watch the records of duties and claim duties, until cancelled."""
         async with asyncio.TaskGroup() as tasks:
-            tasks.create_task(self.board.run())
+            tasks.create_task(self.record_cache.run())
             for claim in self.claims.values():
                 tasks.create_task(claim.run())
 
@@ -101,7 +101,7 @@
         leading = constants.DUTY_LEADER_PAUSE_S if self.leads() else 0.0
         return leading + constants.DUTY_HELD_PAUSE_S * held
 
-    async def hold(self, duty: Duty, tenure: Tenure) -> None:
+    async def hold(self, duty: Duty, ownership: Ownership) -> None:
         """Perform the duty until cancelled."""
         claim = self.claims[duty]
         cloud = CloudClient(
@@ -113,7 +113,7 @@
         executor = DutyExecutor(
             duty,
             claim,
-            tenure,
+            ownership,
             self.store,
             self.settings.params.state,
             cloud,
@@ -138,7 +138,7 @@
     # --- leading -------------------------------------------------------------
     def delegate(self, term: int, writer: Writer) -> Delegation:
         """Set up delegation to the holders, for this term of this controller as leader."""
-        holder_client = HolderClient(self.settings.name, self.board, self.send, self.perform)
+        holder_client = HolderClient(self.settings.name, self.record_cache, self.send, self.perform)
         cloud = DelegatedCloud(term, lambda: writer.guard.version, holder_client)
         compaction = DelegatedWrites(Duty.COMPACTION, term, writer, self.leads, holder_client)
         cleanup = DelegatedWrites(Duty.CLEANUP, term, writer, self.leads, holder_client)
@@ -202,7 +202,7 @@
 
     async def _fetch_wait_reasons(self, leader: str) -> dict[str, str]:
         try:
-            _, raw = await self.send(leader, "/duties/waiting", b"", constants.DUTY_WAIT_S)
+            _, raw = await self.send(leader, "/duties/waiting", b"", constants.DUTY_RESPONSE_S)
             return msgspec.convert(orjson.loads(raw), dict[str, str])
         except (NoAnswerError, orjson.JSONDecodeError, msgspec.ValidationError):
             return {duty.value: f"{leader}, who leads, does not answer" for duty in Duty}
--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -18,7 +18,7 @@
 from peathall import constants
 from peathall.autoscaling.actions import CloudActions, CloudError, NoCapacityError
 from peathall.config.platform import StateSettings
-from peathall.duties.claim import DutyClaim, Tenure
+from peathall.duties.claim import DutyClaim, Ownership
 from peathall.duties.model import (
     ActionIntent,
     ActionRequest,
@@ -57,7 +57,7 @@
         self,
         duty: Duty,
         claim: DutyClaim,
-        tenure: Tenure,
+        ownership: Ownership,
         store: StoreClient,
         limits: StateSettings,
         cloud: CloudActions,
@@ -65,14 +65,19 @@
     ) -> None:
         self.duty = duty
         self.claim = claim
-        self.tenure = tenure
+        self.ownership = ownership
         self.store = store
         self.cloud = cloud
         self.checkpoint = checkpoint
         self.writer = Writer(
-            store, limits, tenure.record, claim.may_act, claim.lost, fence_unknown_outcomes=True
+            store,
+            limits,
+            ownership.record,
+            claim.may_act,
+            claim.on_ownership_lost,
+            fence_unknown_outcomes=True,
         )
-        self.adopted = asyncio.Event()
+        self.ready = asyncio.Event()  # set once the actions of earlier holders are finished
         self.actions: dict[str, asyncio.Task[ActionResult]] = {}  # in progress, by name
         self.results: OrderedDict[str, ActionResult] = OrderedDict()  # latest results, by name
 
@@ -81,7 +86,7 @@
         writing = asyncio.create_task(self.writer.run())
         try:
             await self._finish_earlier_actions()
-            self.adopted.set()
+            self.ready.set()
             await writing
         finally:
             self.writer.stop()
@@ -138,22 +143,22 @@
 
     async def perform(self, request: ActionRequest) -> ActionResult:
         """Carry out a request; PENDING if that takes longer than the leader waits."""
-        if request.token != self.tenure.holder.token:
+        if request.token != self.ownership.holder.token:
             return ActionResult(Outcome.REFUSED, why="another token holds the duty")
         known = self.results.get(request.name)
         if known is not None:
             return known
         if request.name not in self.actions:
-            if not self.adopted.is_set():
+            if not self.ready.is_set():
                 return ActionResult(Outcome.REFUSED, why="finishing what an earlier holder began")
             if not self.claim.may_begin():
                 return ActionResult(Outcome.REFUSED, why="its lease is not sure now")
-            if len(self.actions) >= constants.DUTY_ACTS_MOST:
+            if len(self.actions) >= constants.DUTY_MAX_ACTIONS:
                 return ActionResult(Outcome.REFUSED, why="too many actions are unfinished")
             work = self._write(request) if request.write is not None else self._commit(request)
             self._start(request.name, work)
         action = self.actions[request.name]
-        done, _ = await asyncio.wait([action], timeout=constants.DUTY_WAIT_S)
+        done, _ = await asyncio.wait([action], timeout=constants.DUTY_RESPONSE_S)
         if not done or action.cancelled() or action.exception() is not None:
             return ActionResult(Outcome.PENDING, why="committed or under way, not finished")
         return action.result()
@@ -178,7 +183,7 @@
     async def _commit(self, request: ActionRequest) -> ActionResult:
         """Perform an action on the cloud; its intent comes first, so a new holder can finish it."""
         key = self.duty.action_prefix + request.name
-        token = self.tenure.holder.token
+        token = self.ownership.holder.token
         intent = ActionIntent(token, request.term, request.provision, request.deletion)
         conditions = {key: 0, LEADER_KEY: request.leader_version}
         try:
--- a/peathall/duties/holder_client.py
+++ b/peathall/duties/holder_client.py
@@ -9,7 +9,6 @@
 import orjson
 
 from peathall import constants
-from peathall.duties.board import DutyBoard
 from peathall.duties.model import (
     ActionRequest,
     ActionResult,
@@ -17,6 +16,7 @@
     HolderRecord,
     Outcome,
 )
+from peathall.duties.record_cache import DutyRecordCache
 from peathall.http.client import NoAnswerError
 from peathall.protocol.codec import struct_to_builtins
 
@@ -49,7 +49,7 @@
         return {
             duty.value: reason
             for duty, (reason, noted_at) in self._noted.items()
-            if now - noted_at < constants.DUTY_WAITING_S
+            if now - noted_at < constants.DUTY_WAIT_REASON_MAX_AGE_S
         }
 
 
@@ -57,18 +57,18 @@
     """Sends requests to the holders of duties, for one leader term."""
 
     def __init__(
-        self, name: str, board: DutyBoard, send: SendMessage, perform: PerformAction
+        self, name: str, record_cache: DutyRecordCache, send: SendMessage, perform: PerformAction
     ) -> None:
         """`name`: of this controller, which carries out its own requests through `perform`."""
         self._name = name
-        self._board = board
+        self._record_cache = record_cache
         self._send = send
         self._perform = perform
         self.wait_reasons = WaitReasons()
 
     def current(self, duty: Duty) -> HolderRecord | None:
         """The holder known to this controller; None if the duty has no holder."""
-        return self._board.holders.get(duty)
+        return self._record_cache.holders.get(duty)
 
     async def send_request(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
         """Send a request and return the holder's result.
@@ -79,7 +79,9 @@
             return await self._perform(request)
         try:
             message = orjson.dumps(struct_to_builtins(request))
-            status, raw = await self._send(holder.member, "/duty", message, constants.DUTY_ASK_S)
+            status, raw = await self._send(
+                holder.member, "/duty", message, constants.DUTY_REQUEST_TIMEOUT_S
+            )
             if status == 200:
                 return msgspec.convert(orjson.loads(raw), ActionResult)
         except (NoAnswerError, orjson.JSONDecodeError, msgspec.ValidationError) as exc:
--- a/peathall/duties/board.py
+++ b/peathall/duties/record_cache.py
@@ -16,7 +16,7 @@
 log = logging.getLogger("peathall.duties")
 
 
-class DutyBoard:
+class DutyRecordCache:
     """The records of all duties, kept up to date by one watch.
 
     The cache may lag behind the state service, so a commit that depends on a holder states the
--- a/peathall/duties/retirement.py
+++ b/peathall/duties/retirement.py
@@ -7,8 +7,8 @@
 from collections.abc import Callable
 
 from peathall import constants
-from peathall.duties.board import DutyBoard
 from peathall.duties.model import ACTION_PREFIX, ENABLED_KEY, Duty
+from peathall.duties.record_cache import DutyRecordCache
 from peathall.protocol.state_service import Delete, KeyValue
 from peathall.store.client import StoreClient
 from peathall.store.errors import ConflictError, StoreError
@@ -21,10 +21,10 @@
     """Deletes the record `duties/on` once no action is unfinished and no duty has a holder."""
 
     def __init__(
-        self, store: StoreClient, board: DutyBoard, release_claims: Callable[[], None]
+        self, store: StoreClient, record_cache: DutyRecordCache, release_claims: Callable[[], None]
     ) -> None:
         self._store = store
-        self._board = board
+        self._record_cache = record_cache
         self._release_claims = release_claims
         # Whether actions are unfinished: then duties are still claimed, so that their new holders
         # finish these actions.
@@ -51,11 +51,11 @@
 
         From then on the leader calls the cloud itself, which it must not do beside a holder.
         """
-        if not self._board.enabled_version:
+        if not self._record_cache.enabled_version:
             return False  # the record has not been read yet
         self._release_claims()
         conditions = {duty.holder_key: 0 for duty in Duty}
-        conditions[ENABLED_KEY] = self._board.enabled_version
+        conditions[ENABLED_KEY] = self._record_cache.enabled_version
         try:
             await writer.submit([Delete(ENABLED_KEY)], conditions)
         except ConflictError:
--- a/peathall/status_command.py
+++ b/peathall/status_command.py
@@ -52,7 +52,7 @@
         for address in addresses:
             try:
                 status, raw = await HttpClient(address, "application/json", keep=0).request(
-                    "POST", self.path, b"", constants.DUTY_ASK_S
+                    "POST", self.path, b"", constants.DUTY_REQUEST_TIMEOUT_S
                 )
                 if status == HTTPStatus.OK:
                     return msgspec.convert(orjson.loads(raw), self.status_type), failures
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -193,13 +193,13 @@
         await settled(world)
         index = holder(world, Duty.SCALE_OUT)
         assert index is not None
-        tenure = claim(world, index, Duty.SCALE_OUT).tenure
+        ownership = claim(world, index, Duty.SCALE_OUT).ownership
         world.freeze_controller(index, 15.0)
         done = [submit(world, number) for number in range(1, 4)]
         await asyncio.sleep(10.0)
         assert holder(world, Duty.SCALE_OUT) != index
         # Its own clock is of no help to it: suppose that it counts its lease wrongly.
-        tenure.lease.until = 1e9
+        ownership.lease.until = 1e9
         await asyncio.gather(*done)
         await asyncio.sleep(10.0)
 
@@ -215,7 +215,7 @@
         await settled(world)
         index = holder(world, Duty.SCALE_OUT)
         assert index is not None
-        claim(world, index, Duty.SCALE_OUT).tenure.lease.until += jump_s
+        claim(world, index, Duty.SCALE_OUT).ownership.lease.until += jump_s
         done = [submit(world, 1)]
         await asyncio.sleep(2.0)
         world.freeze_controller(index, 8.0)
@@ -546,12 +546,12 @@
             world.freeze_controller(index, 9.0)
             submit(world, 1)
             await asyncio.sleep(8.5)
-            held.tenure.lease.until = 1e9
+            held.ownership.lease.until = 1e9
             leader = world.leader()
             assert leader is not None
             lead = world.state.data["lead"]
             late = ActionRequest(
-                Duty.SCALE_OUT, held.tenure.holder.token, lead[0]["term"], lead[1],
+                Duty.SCALE_OUT, held.ownership.holder.token, lead[0]["term"], lead[1],
                 provision=ProvisionRequest("r-late-1", "small", "a", False, 1),
             )  # fmt: skip
             host = world.controllers[index][0]
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -1199,7 +1199,7 @@
 
     async def play() -> None:
         part = new_duties(RecordedHttp(), sender(http))
-        part.board.holders = {duty: holder() for duty in duties.Duty}
+        part.record_cache.holders = {duty: holder() for duty in duties.Duty}
         writer: Any = MagicMock()
         writer.guard.version = 9
         cloud = part.delegate(4, writer).cloud
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -32,11 +32,11 @@
 from peathall.cluster.job import Job, JobHealth
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.config.modes import Mode
-from peathall.duties.board import DutyBoard
-from peathall.duties.claim import DutyClaim, Tenure
+from peathall.duties.claim import DutyClaim, Ownership
 from peathall.duties.executor import DutyExecutor
 from peathall.duties.gate import DutyGate
 from peathall.duties.model import ActionRequest, Deletion, Duty, HolderRecord
+from peathall.duties.record_cache import DutyRecordCache
 from peathall.duties.status import describe
 from peathall.jobs.follower import FollowerService
 from peathall.jobs.jobs import Jobs
@@ -287,13 +287,13 @@
 
 
 @asynccontextmanager
-async def followed_board(store: Any) -> AsyncIterator[DutyBoard]:
+async def followed_record_cache(store: Any) -> AsyncIterator[DutyRecordCache]:
     """Has read what is stored."""
-    board = DutyBoard(store)
-    task = asyncio.create_task(board.run())
-    await until(lambda: board.known)
+    record_cache = DutyRecordCache(store)
+    task = asyncio.create_task(record_cache.run())
+    await until(lambda: record_cache.known)
     try:
-        yield board
+        yield record_cache
     finally:
         task.cancel()
 
@@ -564,8 +564,8 @@
     async def test(store: RecordingStore) -> None:
         store.write("term", {"n": 7})
         await campaign(store, gate=Mode.ON)
-        async with followed_board(store) as board:
-            assert board.enabled_version == store.data["duties/on"][1]
+        async with followed_record_cache(store) as record_cache:
+            assert record_cache.enabled_version == store.data["duties/on"][1]
 
     assert_written(play(test), {"lead": [LEAD], "term": [{"n": 8}], "duties/on": [MARK]})
 
@@ -593,20 +593,27 @@
         def claim_delay_s(self) -> float:
             return 0.0
 
-        async def hold(self, held: Duty, tenure: Tenure) -> None:
+        async def hold(self, held: Duty, ownership: Ownership) -> None:
             assert held is duty
-            assert tenure.holder.token == 5
+            assert ownership.holder.token == 5
 
     async def test(store: RecordingStore) -> None:
         client: Any = store
         store.write("duties/on", MARK)
         store.write(f"duties/token/{name}", TOKEN_BEFORE)
-        async with followed_board(store) as board:
+        async with followed_record_cache(store) as record_cache:
             claim = DutyClaim(
-                duty, "hall-1", client, board, 20.0, lambda: WALL, random.Random(1), Holding()
+                duty,
+                "hall-1",
+                client,
+                record_cache,
+                20.0,
+                lambda: WALL,
+                random.Random(1),
+                Holding(),
             )
             clock: Any = SimpleNamespace(time=lambda: 100.0)
-            claim.loop, board.vacant_since[duty] = clock, 97.5
+            claim.loop, record_cache.vacant_since[duty] = clock, 97.5
             await claim._claim()
 
     store = play(test)
@@ -618,8 +625,8 @@
 def test_holder_is_read(name: str, duty: Duty) -> None:
     async def test(store: RecordingStore) -> None:
         store.write(f"duties/holder/{name}", HOLDER)
-        async with followed_board(store) as board:
-            assert board.holders == {
+        async with followed_record_cache(store) as record_cache:
+            assert record_cache.holders == {
                 duty: HolderRecord(member="hall-1", token=5, lease=71, since=WALL, vacant_s=2.5)
             }
 
@@ -648,11 +655,13 @@
     store.write(key, HOLDER)
     holder = HolderRecord(member="hall-1", token=5, lease=71, since=WALL, vacant_s=2.5)
     record = GuardKey(key, HOLDER, store.revision, LEASE)
-    tenure = Tenure(holder, record, LeaderLease(20.0, 0.0))
-    claim: Any = SimpleNamespace(may_act=lambda: True, may_begin=lambda: True, lost=lambda: None)
-    executor = DutyExecutor(duty, claim, tenure, store, LIMITS, cloud)
+    ownership = Ownership(holder, record, LeaderLease(20.0, 0.0))
+    claim: Any = SimpleNamespace(
+        may_act=lambda: True, may_begin=lambda: True, on_ownership_lost=lambda: None
+    )
+    executor = DutyExecutor(duty, claim, ownership, store, LIMITS, cloud)
     task = asyncio.create_task(executor.run())
-    await executor.adopted.wait()
+    await executor.ready.wait()
     try:
         yield executor
     finally:
