--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -202,7 +202,7 @@
             for result in await asyncio.gather(*tasks, return_exceptions=True):
                 if isinstance(result, Exception):
                     log.error(
-                        "duty %s: renewing or performing it failed, releasing it",
+                        "duty %s: lease renewal or executor failed, releasing the duty",
                         self.duty.value,
                         exc_info=result,
                     )
