--- a/peathall/duties/executor.py
+++ b/peathall/duties/executor.py
@@ -112,7 +112,7 @@
             intent = msgspec.convert(item.value, ActionIntent)
             self.writer.versions[item.key] = item.version
             log.info(
-                "duty %s: finishing action %s that fencing token %d left unfinished",
+                "duty %s: finishing action %s of an earlier holder with fencing token %d",
                 self.duty.value,
                 name,
                 intent.token,
--- a/peathall/duties/record_cache.py
+++ b/peathall/duties/record_cache.py
@@ -52,7 +52,7 @@
                 self._load(items)
                 await self._follow(revision)
             except StoreError as exc:
-                log.debug("reading the records of duties failed, retrying: %s", exc)
+                log.debug("duties: reading the records failed, retrying: %s", exc)
                 await asyncio.sleep(constants.STORE_RETRY_S)
 
     def _load(self, items: list[KeyValue]) -> None:
