--- a/peathall/duties/delegation.py
+++ b/peathall/duties/delegation.py
@@ -1,4 +1,4 @@
-"""How a leader gets its work done by the duties' holders, for one term."""
+"""The parts through which a leader delegates work to the holders of duties, for one term."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from msgspec import Struct
 
-from peathall.duties.delegate import DelegatedCloud
-from peathall.duties.holders import Holders
-from peathall.duties.writes import DelegatedWrites
+from peathall.duties.delegated_cloud import DelegatedCloud
+from peathall.duties.delegated_writes import DelegatedWrites
+from peathall.duties.holder_client import HolderClient
 
 
 class Delegation(Struct, frozen=True):
-    """A leader's ways to the holders, for one term."""
+    """What a leader uses to delegate work to the holders, for one term."""
 
     cloud: DelegatedCloud
     compaction: DelegatedWrites
     cleanup: DelegatedWrites
-    holders: Holders
+    holders: HolderClient
 
     async def run(self) -> None:
         """Send deferred writes to the holders, until cancelled at the end of the term."""
@@ -26,6 +26,6 @@
             tasks.create_task(self.cleanup.run())
 
     def act_directly(self) -> None:
-        """Duties are off: the leader's writer gets the writes that wait."""
+        """Duties are off: pass all deferred writes to the leader's own writer."""
         self.compaction.act_directly()
         self.cleanup.act_directly()
