--- a/peathall/cells/__init__.py
+++ b/peathall/cells/__init__.py
@@ -1,1 +1,1 @@
-"""Slice `cells`: jobs that move whole to another cell when their own has no capacity in time."""
+"""Component `cells`: hands whole jobs to another cell when their own lacks capacity in time."""
--- a/peathall/cells/borrowed_job.py
+++ b/peathall/cells/borrowed_job.py
@@ -1,4 +1,4 @@
-"""One job of another cell, as the borrower knows it."""
+"""One job of another cell, as the borrowing cell knows it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     BorrowPhase.RELEASED: set(),
 }
 
-# A borrowed job without attempts here is given back after so long in its phase.
+# Seconds without an attempt of the job in this cell after which it goes back to its home cell.
 PATIENCE_S = {
     BorrowPhase.RESERVED: constants.CELL_RESERVATION_S,
     BorrowPhase.ADOPTED: constants.CELL_UNPLACED_S,
@@ -29,7 +29,7 @@
 
 
 class BorrowedJob:
-    """A job of another cell, its phase here, and our lease on it."""
+    """A job of another cell, its phase in this cell, and this cell's lease on it."""
 
     __slots__ = ("epoch", "home", "job", "lease", "phase", "revoked", "storing", "unplaced_since")
 
@@ -38,10 +38,10 @@
         self.epoch = epoch
         self.phase = phase
         self.job = job
-        self.lease: LeaderLease | None = None  # in memory only: each leader gets one of its own
-        self.revoked = False  # for good, by its home or by this cell
-        self.storing = False  # its record is being written
-        self.unplaced_since = now  # no task of it has been placed since then
+        self.lease: LeaderLease | None = None  # not stored: each new leader requests its own
+        self.revoked = False  # by the home cell or by this cell; never undone
+        self.storing = False  # the record of the job is being written
+        self.unplaced_since = now  # time since which the job has had no attempt here
 
     @property
     def spec(self) -> JobSpec:
@@ -50,21 +50,27 @@
 
     @property
     def key(self) -> str:
-        """Key of its record."""
+        """Key of the job's record in the state service."""
         return BORROWED + self.spec.id
 
     def enter(self, phase: BorrowPhase) -> None:
-        """The one way to change the phase; RELEASED is final."""
+        """Change the phase, if ALLOWED_TRANSITIONS permits it. No other code sets the phase."""
         if phase in ALLOWED_TRANSITIONS[self.phase]:
             job_id, before = self.spec.id, self.phase.name
-            log.info("job %s: borrowed %s -> %s (home %s)", job_id, before, phase.name, self.home)
+            log.info(
+                "job %s: borrowed, phase %s -> %s (home cell %s)",
+                job_id,
+                before,
+                phase.name,
+                self.home,
+            )
             self.phase = phase
 
     def may_run(self, now: float) -> bool:
-        """Whether a task of it may start now."""
+        """Whether tasks of the job may start and run now."""
         return not self.revoked and self.lease is not None and self.lease.is_valid(now)
 
     def status(self) -> BorrowedJobStatus:
-        """What heartbeats to its home say of it."""
+        """The job's entry in heartbeats to its home cell."""
         stopping = self.job.on_hold and self.phase is not BorrowPhase.RESERVED
         return BorrowedJobStatus(self.spec.id, self.epoch, self.phase, stopping, self.job.running)
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -1,10 +1,10 @@
-"""The borrower's side of handoffs: capacity reservations, adopted jobs, and their end.
+"""The borrowing cell's side of handoffs: capacity reservations, adopted jobs, and their end.
 
-A borrowed job runs only while our lease on it is valid. The lease is in memory alone: a new leader
-has none until a heartbeat of its own was granted. Once it has expired, or was revoked, the job is
-on hold: nothing of it starts, and every response to a machine from then on stops its tasks, as for
-a cancelled job. Its record is deleted once no task of it can exist here; until then every heartbeat
-names it.
+A borrowed job runs only while this cell's lease on it is valid. The lease is not stored: a new
+leader has none until its home cell has granted one in response to a heartbeat. When the lease
+expires or is revoked, the job is put on hold: no task of it starts, and every further response to
+a machine stops its tasks, as for a cancelled job. The record of the job is deleted once no task of
+it can exist here; until then every heartbeat to the home cell names the job.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 from peathall import constants
 from peathall.cells.borrowed_job import PATIENCE_S, BorrowedJob
-from peathall.cells.errors import ReplacedError
+from peathall.cells.errors import StaleMessageError
 from peathall.cells.model import (
     BorrowedJobStatus,
     BorrowedRecord,
@@ -44,56 +44,58 @@
 log = logging.getLogger("peathall.cells")
 
 
-class CapacityKeeper(Protocol):
-    """Finds and reserves capacity on machines: the placement slice."""
+class CapacityReserver(Protocol):
+    """Finds and reserves capacity on machines; implemented by the placement component."""
 
     async def reserve(self, spec: JobSpec, until: float) -> bool:
-        """Reserve capacity for the whole job until then (steady time); False if there is none."""
+        """Reserve capacity for all tasks of the job until `until` (monotonic time); return whether
+        there was enough."""
 
     def release(self, spec: JobSpec) -> None:
         """Free the capacity that is still reserved for the job."""
 
     def request_round(self) -> None:
-        """Something may start now."""
+        """Request a scheduling round: tasks that could not start before may start now."""
 
 
 class TaskStopper(Protocol):
-    """Stops the tasks of a job: the workers slice, by way of the leader."""
+    """Stops the tasks of a job; implemented by the leader with its workers component."""
 
     def stop_all(self, job: Job) -> None:
-        """Every response from now on stops them, and start commands on their way are refused."""
+        """Stop the job's tasks in every response to a machine from now on, and make machines refuse
+        start commands that are still in flight."""
 
 
 class BorrowedJobs:
-    """All jobs that this cell has borrowed, in one term."""
+    """All jobs that this cell has borrowed, during one leader term."""
 
     def __init__(
         self,
         cluster: ClusterState,
         params: Params,
         writer: Writer,
-        capacity: CapacityKeeper,
+        capacity: CapacityReserver,
         tasks: TaskStopper,
         clock: Callable[[], float],
-        on_change: Callable[[str], None],
-        knows: Callable[[str], bool],
+        request_heartbeat: Callable[[str], None],
+        submitted_here: Callable[[str], bool],
     ) -> None:
         self.cluster = cluster
         self.params = params
         self.writer = writer
         self.capacity = capacity
         self.tasks = tasks
-        self.clock = clock  # steady time
-        self.on_change = on_change  # called with a home that is to get a heartbeat soon
-        self.knows = knows  # whether a user of this cell submitted a job of that name
+        self.clock = clock  # monotonic time
+        self.request_heartbeat = request_heartbeat  # to the home cell of this name, soon
+        self.submitted_here = submitted_here  # whether a user of this cell submitted the job id
         self.borrowed: dict[str, BorrowedJob] = {}
-        self.reserving: dict[str, JobSpec] = {}  # offers in progress
+        self.reserving: dict[str, JobSpec] = {}  # jobs whose offers are in progress
         self.background = BackgroundTasks()
 
     # --- records -------------------------------------------------------------
     def load(self, items: list[KeyValue], now: float) -> None:
-        """Recover after failover, before the records of rounds are read: what is borrowed is on
-        hold until its home has granted it to this leader."""
+        """Recover borrowed jobs after failover, before the records of rounds are read. They stay on
+        hold until their home cells have granted this leader a lease."""
         for item in items:
             self.writer.versions[item.key] = item.version
             record = msgspec.convert(item.value, BorrowedRecord)
@@ -112,44 +114,45 @@
         job.borrowed = job.on_hold = True
         return job
 
-    def hold_unconfirmed(self, now: float) -> None:
-        """After failover: stop the tasks of jobs that were not granted to this leader."""
+    def stop_without_lease(self, now: float) -> None:
+        """After failover, stop the tasks of jobs on which this leader got no lease."""
         for borrowed in self.borrowed.values():
             if not borrowed.may_run(now):
                 self._stop_tasks(borrowed)
 
     async def _store(self, borrowed: BorrowedJob, phase: BorrowPhase) -> bool:
-        """Store the next phase; only then is it entered and named in heartbeats."""
+        """Store the next phase, then enter it; heartbeats name a phase only once it is stored."""
         record = BorrowedRecord(borrowed.epoch, borrowed.home, phase, spec_to_record(borrowed.spec))
         return await self._commit(borrowed, Put(borrowed.key, struct_to_builtins(record)), phase)
 
     async def _commit(self, borrowed: BorrowedJob, op: Put | Delete, phase: BorrowPhase) -> bool:
         conditions: dict[str, int] = {}
         if phase is BorrowPhase.RESERVED:
-            # A job of our own users, accepted by whatever controller, is never borrowed as well.
+            # A job that any controller of this cell accepted from a user is never borrowed as well.
             conditions = {records.JOB + borrowed.spec.id: 0, records.PAST + borrowed.spec.id: 0}
         borrowed.storing = True
         try:
             await self.writer.submit([op], conditions)
         except (StoreError, ConflictError) as exc:
-            log.info("job %s: phase %s is not stored: %s", borrowed.spec.id, phase.name, exc)
+            log.info("job %s: borrowed phase %s not stored: %s", borrowed.spec.id, phase.name, exc)
             return False
         finally:
             borrowed.storing = False
         borrowed.enter(phase)
-        self.on_change(borrowed.home)
+        self.request_heartbeat(borrowed.home)
         return True
 
     # --- reserving -----------------------------------------------------------
     async def reserve(self, offer: HandoffOffer) -> str | None:
-        """Reserve capacity for an offered job. The reason why not, or None once that is stored."""
+        """Reserve capacity for an offered job and store that. Return None, or the reason why
+        nothing was reserved."""
         spec = spec_from_record(offer.job)
         known = self.borrowed.get(spec.id)
         if known is not None:
             if offer.epoch < known.epoch:
-                raise ReplacedError(f"{spec.id} was offered anew since")
+                raise StaleMessageError(f"{spec.id}: a later offer has replaced this one")
             if offer.epoch == known.epoch and known.phase is BorrowPhase.RESERVED:
-                return None  # a repeated offer
+                return None  # the same offer, sent again
             return "an earlier handoff of it is not over here"
         reason = self._rejection_reason(spec)
         if reason is not None:
@@ -161,7 +164,7 @@
             del self.reserving[spec.id]
 
     def _rejection_reason(self, spec: JobSpec) -> str | None:
-        if self.knows(spec.id):
+        if self.submitted_here(spec.id):
             return "a job of this name is known here"
         if spec.id in self.reserving:
             return "an offer of it is being looked at"
@@ -187,25 +190,26 @@
             self.capacity.release(spec)
             return "the reservation could not be stored"
         self.borrowed[spec.id] = borrowed
-        if self.knows(spec.id):
-            self._revoke(borrowed)  # accepted from a user of this cell meanwhile
+        if self.submitted_here(spec.id):
+            self._revoke(borrowed)  # a user submitted the job here in the meantime
             return "a job of this name is known here"
         return None
 
-    # --- heartbeats to homes -------------------------------------------------
+    # --- heartbeats to home cells --------------------------------------------
     def statuses(self, home: str) -> list[BorrowedJobStatus]:
-        """The status of every job borrowed from that home."""
+        """The status of every job borrowed from that home cell."""
         return [borrowed.status() for borrowed in self.borrowed.values() if borrowed.home == home]
 
-    def pending(self, home: str) -> bool:
-        """Whether a reservation waits for a grant of that home."""
+    def awaits_grant(self, home: str) -> bool:
+        """Whether a job of that home cell is reserved, but not granted yet."""
         return any(
             borrowed.home == home and borrowed.phase is BorrowPhase.RESERVED
             for borrowed in self.borrowed.values()
         )
 
     def apply_ruling(self, home: str, ruling: Ruling, sent: float) -> None:
-        """Apply the home's ruling in response to a heartbeat sent at this steady time."""
+        """Apply a ruling of the home cell. `sent` is the monotonic time at which the heartbeat that
+        it responds to was sent."""
         borrowed = self.borrowed.get(ruling.job)
         if borrowed is None or (borrowed.home, borrowed.epoch) != (home, ruling.epoch):
             return
@@ -253,16 +257,16 @@
         if borrowed.storing or borrowed.phase is BorrowPhase.RELEASED:
             return
         if not await self._commit(borrowed, Delete(borrowed.key), BorrowPhase.RELEASED):
-            return  # retried with the next tick
+            return  # the next tick retries
         del self.borrowed[borrowed.spec.id]
         self.cluster.jobs.pop(borrowed.spec.id, None)
         self.capacity.release(borrowed.spec)
         for key in borrowed.job.done_keys:
             self.writer.defer_delete(key)
 
-    # --- its end -------------------------------------------------------------
+    # --- completion ----------------------------------------------------------
     def finish(self, job: Job) -> None:
-        """All of its tasks are done: store that, then tell its home with a heartbeat."""
+        """All tasks of the job are done: store that, then report it to the home cell."""
         borrowed = self.borrowed[job.spec.id]
         if borrowed.phase is BorrowPhase.ADOPTED and not borrowed.storing and not borrowed.revoked:
             self.background.spawn(self._finish(borrowed))
@@ -273,15 +277,20 @@
 
     # --- time ----------------------------------------------------------------
     def stop_expired(self, now: float) -> None:
-        """Called before every response to a machine: stop what our leases no longer cover."""
+        """Stop jobs whose leases are no longer valid. Called before every response to a machine."""
         for borrowed in self.borrowed.values():
             if not borrowed.job.on_hold and not borrowed.may_run(now):
-                log.info("job %s: our lease has expired (home %s)", borrowed.spec.id, borrowed.home)
+                log.info(
+                    "job %s: lease expired, stopping its tasks (home cell %s)",
+                    borrowed.spec.id,
+                    borrowed.home,
+                )
                 self._stop_tasks(borrowed)
-                self.on_change(borrowed.home)
+                self.request_heartbeat(borrowed.home)
 
     def tick(self, now: float) -> None:
-        """Once a second: expired leases, reservations without a grant, jobs that are not placed."""
+        """Handle expired leases, reservations that were not granted, and jobs that could not be
+        placed. Called once a second."""
         self.stop_expired(now)
         for borrowed in self.borrowed.values():
             if borrowed.job.attempts:
@@ -290,17 +299,17 @@
                 not borrowed.revoked and now - borrowed.unplaced_since > PATIENCE_S[borrowed.phase]
             ):
                 log.info(
-                    "job %s: given back, not placed in time (home %s)",
+                    "job %s: not placed in time, returning it to its home cell %s",
                     borrowed.spec.id,
                     borrowed.home,
                 )
                 self._revoke(borrowed)
             self._release_if_gone(borrowed)
 
-    def counts(self) -> Counter[str]:
-        """How many jobs are borrowed from each home."""
+    def counts_by_home(self) -> Counter[str]:
+        """How many jobs are borrowed from each home cell."""
         return Counter(borrowed.home for borrowed in self.borrowed.values())
 
     def close(self) -> None:
-        """The term is over."""
+        """Cancel background work at the end of the term."""
         self.background.close()
--- a/peathall/cells/capacity.py
+++ b/peathall/cells/capacity.py
@@ -1,4 +1,5 @@
-"""Summaries of free capacity: small enough to be sent each second, and only a hint. Pure."""
+"""Summaries of free capacity, small enough to be sent each second. They are only a hint: the
+reservation decides. Pure functions."""
 
 from __future__ import annotations
 
@@ -13,7 +14,8 @@
 
 
 def summarize(machines: Iterable[MachineView]) -> list[CapacityRow]:
-    """Rows of like machines, those with the most capacity first, at most CELL_ROOM_ROWS."""
+    """Count the machines with equal free capacity; at most CELL_CAPACITY_ROWS rows, the largest
+    first."""
     count: Counter[CapacityRow] = Counter()
     for machine in machines:
         cpus, gpus, ram = (max(0, int(amount)) for amount in machine.free)
@@ -28,7 +30,7 @@
 
 
 def fits_whole(spec: JobSpec, rows: Sequence[CapacityRow]) -> bool:
-    """Whether all tasks of the job seem to fit at once."""
+    """Whether all tasks of the job fit at once, according to the summary."""
     by_zone: Counter[str] = Counter()
     for row in rows:
         if not allowed(row, spec):
@@ -36,5 +38,5 @@
         by_zone[row.zone] += fits_in((row.cpus, row.gpus, row.ram), spec) * row.machines
     if spec.one_zone:
         return max(by_zone.values(), default=0) >= spec.tasks
-    most = (spec.tasks + 1) // 2 if spec.spread else spec.tasks
-    return sum(min(count, most) for count in by_zone.values()) >= spec.tasks
+    max_per_zone = (spec.tasks + 1) // 2 if spec.spread else spec.tasks
+    return sum(min(count, max_per_zone) for count in by_zone.values()) >= spec.tasks
--- a/peathall/cells/cell_leader.py
+++ b/peathall/cells/cell_leader.py
@@ -1,4 +1,4 @@
-"""The cells as one leader deals with them, for one term: wiring of this package's parts."""
+"""Wires this package's parts together for one leader term."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from peathall.cells.borrower import BorrowedJobs, TaskStopper
 from peathall.cells.client import CellClient
 from peathall.cells.errors import CellError
+from peathall.cells.handoff_scheduler import HandoffScheduler, MachineCapacity
 from peathall.cells.heartbeats import CapacitySummary, HeartbeatSender
 from peathall.cells.home import HomeHandoffs
 from peathall.cells.model import HANDOFF, UserRequest
 from peathall.cells.requests import CellRequestHandler, CellResponse
 from peathall.cells.settings import CellSettings
-from peathall.cells.spilling import MachineCapacity, Spiller
 from peathall.cells.status import CellsStatus, CellStatus, HandoffStatus
 from peathall.cluster.state import ClusterState
 from peathall.config.modes import Mode
@@ -46,7 +46,7 @@
 
 
 class CellEnvironment(Struct, frozen=True):
-    """What the controller and the leader's term give to the cells."""
+    """What the controller and the leader term provide to this component."""
 
     wall: Callable[[], float]  # time of day
     is_leader: Callable[[], bool]  # whether the leader may act now
@@ -55,7 +55,7 @@
 
 
 class CellLeader:
-    """Both sides of handoffs, heartbeats, offers, and what users of borrowed jobs get."""
+    """Both sides of handoffs, heartbeats, offers, and users' requests for borrowed jobs."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
         self.writer = writer
         self.jobs = jobs
         self.is_leader = is_leader
-        # Leases are requested before this leader serves: a valid leader lease suffices for that.
+        # Requests for leases are sent during recovery, so they only need a valid leader lease.
         self.cells = {
             neighbour.name: CellClient(neighbour, environment.may_send, clock)
             for neighbour in settings.neighbour
@@ -85,7 +85,7 @@
             settings.name, settings.lease_s, workers.cancel_s, cluster, writer, jobs, clock
         )
         self.borrower = BorrowedJobs(
-            cluster, params, writer, capacity, tasks, clock, self._wake, jobs.knows
+            cluster, params, writer, capacity, tasks, clock, self._request_heartbeat, jobs.knows
         )
         summary = CapacitySummary(settings.mode, cluster, capacity, clock)
         self.sender = HeartbeatSender(
@@ -94,88 +94,89 @@
         self.requests = CellRequestHandler(
             settings, self.cells, self.home, self.borrower, self.sender, jobs, is_leader, clock
         )
-        self.spiller = Spiller(
+        self.handoff_scheduler = HandoffScheduler(
             cluster, params, self.cells, self.home, capacity, clock, environment.wall, rng
         )
 
-    def _wake(self, cell: str) -> None:
-        self.sender.wake(cell)
+    def _request_heartbeat(self, cell: str) -> None:
+        self.sender.request_heartbeat(cell)
 
     # --- life cycle ----------------------------------------------------------
     @staticmethod
     async def read_records(store: StoreClient) -> CellRecords:
-        """All records of handoffs; StoreError if they can't be read."""
+        """Read all records of handoffs and borrowed jobs; StoreError if they can't be read."""
         handoffs, _ = await store.scan(HANDOFF)
         borrowed, _ = await store.scan(BORROWED)
         return CellRecords(handoffs, borrowed)
 
     def load(self, records: CellRecords) -> None:
-        """Recover borrowed jobs after failover, before final statuses and rounds are read."""
+        """Recover borrowed jobs after failover, before the records of final statuses and rounds."""
         self.borrower.load(records.borrowed, self.clock())
 
     def load_handoffs(self, records: CellRecords) -> None:
-        """Recover handoffs after failover, after the records of jobs were read."""
+        """Recover handoffs after failover, after the records of jobs."""
         self.home.load(records.handoffs, self.clock())
 
     async def request_leases(self) -> None:
-        """Before this leader serves: request the leases on what is borrowed, once."""
-        homes = [name for name in self.borrower.counts() if name in self.cells]
+        """Request the leases on all borrowed jobs once, before this leader serves requests."""
+        homes = [name for name in self.borrower.counts_by_home() if name in self.cells]
         if homes:
             requests = [asyncio.ensure_future(self.sender.send(self.cells[name])) for name in homes]
             _, late = await asyncio.wait(requests, timeout=constants.CELL_LEASE_REQUEST_S)
             for request in late:
                 request.cancel()
-        self.borrower.hold_unconfirmed(self.clock())
+        self.borrower.stop_without_lease(self.clock())
 
     def loops(self) -> Iterator[Coroutine[Any, Any, None]]:
-        """What runs for as long as the term does."""
+        """Coroutines that run until the end of the term."""
         for cell in self.cells.values():
             yield self.sender.run(cell, self.is_leader)
-        yield self.spiller.run(self._may_spill)
+        yield self.handoff_scheduler.run(self._may_offer)
         if self.settings.mode is Mode.RETIRING:
             yield self._retire()
 
-    def _may_spill(self) -> bool:
+    def _may_offer(self) -> bool:
         return self.is_leader() and self.settings.mode is Mode.ON
 
     def tick(self, now: float) -> None:
-        """Once a second: leases and reservations."""
+        """Handle expired leases and reservations. Called once a second."""
         self.home.tick(now)
         self.borrower.tick(now)
 
     def close(self) -> None:
-        """The term is over."""
-        self.spiller.close()
+        """Cancel background work and close connections at the end of the term."""
+        self.handoff_scheduler.close()
         self.home.close()
         self.borrower.close()
         for cell in self.cells.values():
             cell.close()
 
     async def _retire(self) -> None:
-        """Once no handoff is left, the feature is off: record that beside the term."""
+        """Wait until no handoff is left, then store in the term record that cells are off."""
         while self.home.handoffs or self.borrower.borrowed or not self.is_leader():
             await asyncio.sleep(constants.TICK_S)
         await self.writer.submit([Put(TERM_KEY, struct_to_builtins(TermRecord(self.cluster.term)))])
-        log.info("cells are off: restart all controllers without the section")
+        log.info("no handoff is left, cells are off: restart all controllers without `cells`")
         await asyncio.Event().wait()
 
     # --- requests ------------------------------------------------------------
     async def serve(self, path: str, raw: bytes) -> CellResponse:
-        """The response to a request of another cell."""
+        """Return the response to a request of another cell."""
         return await self.requests.serve(path, raw)
 
     @staticmethod
     def accept_conditions(job_id: str) -> dict[str, int]:
-        """Conditions on which a job of that name may be accepted: it is not borrowed."""
+        """Conditions of the commit that accepts a job with this id: the job is not borrowed."""
         return {BORROWED + job_id: 0}
 
     def home_of(self, job_id: str) -> str | None:
-        """The cell that answers for the job, if it is borrowed."""
+        """The home cell of the job if it is borrowed, else None."""
         borrowed = self.borrower.borrowed.get(job_id)
         return borrowed.home if borrowed is not None else None
 
     async def ask_home(self, operation: str, job_id: str) -> JobResponse:
-        """The home's response to a user; RETRY_LATER if there is none, or no such neighbour."""
+        """Pass a user's request on to the job's home cell. RETRY_LATER if that does not respond or
+        is no neighbour."""
         cell = self.cells.get(self.home_of(job_id) or "")
         if cell is None:
             return RETRY_LATER
@@ -184,22 +185,22 @@
                 UserRequest(self.settings.name, cell.name, operation, job_id)
             )
         except CellError as exc:
-            log.debug("job %s: its home does not answer: %s", job_id, exc)
+            log.debug("job %s: cannot pass the user's request on to the home cell: %s", job_id, exc)
             return RETRY_LATER
-        # It is borrowed, so its home has accepted it: another status is no answer.
+        # The home cell has accepted a job that is borrowed, so other statuses are transient errors.
         if response.status != HTTPStatus.OK:
             return RETRY_LATER
         return JobResponse(response.status, response.value)
 
     def note_unplaced(self, plan: Plan) -> None:
-        """A round has found no capacity for these jobs: they may be handed off."""
-        self.spiller.note_unplaced(plan)
+        """Note the jobs for which a scheduling round found no capacity: they may be handed off."""
+        self.handoff_scheduler.note_unplaced(plan)
 
     # --- operators -----------------------------------------------------------
     def status(self, answered_by: str) -> CellsStatus:
-        """What `peathall cells` tells operators; `answered_by` is this controller."""
+        """The status for `peathall cells`; `answered_by` is this controller."""
         now = self.clock()
-        waiting = self.spiller.rule.waiting.items()
+        waiting = self.handoff_scheduler.policy.waiting_jobs.items()
         return CellsStatus(
             self.settings.name,
             answered_by,
--- a/peathall/cells/client.py
+++ b/peathall/cells/client.py
@@ -1,4 +1,4 @@
-"""Client of another cell: finds the leader among the cell's controllers."""
+"""Client of another cell, which finds the leader among the cell's controllers."""
 
 from __future__ import annotations
 
@@ -28,44 +28,44 @@
 HEARTBEAT_PATH = "/cells/heartbeat"
 USER_PATH = "/cells/user"
 
-# Responses that another controller of the cell would give as well. Not among them: NOT_FOUND,
-# since cells may be off at one controller of several.
+# Statuses with which every controller of the cell would respond. NOT_FOUND is not one of them:
+# cells may be off at some of the controllers only.
 FINAL_STATUSES = (HTTPStatus.BAD_REQUEST, HTTPStatus.FORBIDDEN, HTTPStatus.CONFLICT)
 
 ResponseType = TypeVar("ResponseType")
 
 
 class CellClient:
-    """One other cell: where its leader is, its free capacity, and when it last responded."""
+    """One other cell: its leader's address, its free capacity, and when it last responded."""
 
     def __init__(
         self, neighbour: Neighbour, may_send: Callable[[], bool], clock: Callable[[], float]
     ) -> None:
         self.name = neighbour.name
-        self.clock = clock  # steady time
+        self.clock = clock  # monotonic time
         self.clients = [
             HttpClient(addr, "application/json", may_send=may_send) for addr in neighbour.controller
         ]
-        self.term = 0  # of its leader, by its latest response
-        self.last_response_at: float | None = None  # to a heartbeat, steady time
-        self._current = 0  # index of the controller that is asked first
+        self.term = 0  # of the cell's leader, from its latest response
+        self.last_response_at: float | None = None  # to a heartbeat, monotonic time
+        self._preferred = 0  # index of the controller that gets the next request
         self._rows: Sequence[CapacityRow] = ()
         self._rows_at = -1e9
 
     def rows(self, now: float) -> Sequence[CapacityRow]:
-        """Its summary of free capacity; empty if the latest one is too old."""
+        """The cell's latest summary of free capacity; empty if that is too old."""
         return self._rows if now - self._rows_at < constants.CELL_CAPACITY_FRESH_S else ()
 
     def note_capacity(self, rows: Sequence[CapacityRow], now: float) -> None:
-        """It has sent a summary of its free capacity."""
+        """Keep a summary of free capacity that the cell has sent."""
         self._rows, self._rows_at = rows, now
 
     async def offer(self, offer: HandoffOffer) -> HandoffOfferResponse:
-        """Its response to an offer; CellError without one."""
+        """Send an offer and return the response; CellError if there is none."""
         return await self._request(OFFER_PATH, offer, HandoffOfferResponse, constants.CELL_OFFER_S)
 
     async def heartbeat(self, heartbeat: CellHeartbeat) -> CellHeartbeatResponse:
-        """Its response to a heartbeat; CellError without one."""
+        """Send a heartbeat and return the response; CellError if there is none."""
         response = await self._request(
             HEARTBEAT_PATH, heartbeat, CellHeartbeatResponse, constants.CELL_TIMEOUT_S
         )
@@ -74,31 +74,32 @@
         return response
 
     async def user_request(self, request: UserRequest) -> UserResponse:
-        """Its response to a user; CellError without one."""
+        """Pass on a user's request and return the response; CellError if there is none."""
         return await self._request(USER_PATH, request, UserResponse, constants.FORWARD_S)
 
     async def _request(
-        self, path: str, message: msgspec.Struct, kind: type[ResponseType], timeout: float
+        self, path: str, message: msgspec.Struct, response_type: type[ResponseType], timeout: float
     ) -> ResponseType:
-        """Ask controller after controller, within the time, until the leader responds."""
+        """Send the message to one controller after another until the leader responds, for at most
+        `timeout` seconds."""
         raw = orjson.dumps(struct_to_builtins(message))
-        until = self.clock() + timeout
+        deadline = self.clock() + timeout
         reason = "it has no leader"
         for _ in self.clients:
-            left = until - self.clock()
-            if left <= 0:
+            remaining_s = deadline - self.clock()
+            if remaining_s <= 0:
                 break
             try:
-                client = self.clients[self._current]
-                status, answer = await client.request("POST", path, raw, left)
+                client = self.clients[self._preferred]
+                status, body = await client.request("POST", path, raw, remaining_s)
                 if status == HTTPStatus.OK:
-                    return msgspec.convert(orjson.loads(answer), kind)
+                    return msgspec.convert(orjson.loads(body), response_type)
                 reason = f"it answered {status}"
                 if status in FINAL_STATUSES:
                     break
             except (NoAnswerError, orjson.JSONDecodeError, msgspec.ValidationError) as exc:
                 reason = str(exc)
-            self._current = (self._current + 1) % len(self.clients)
+            self._preferred = (self._preferred + 1) % len(self.clients)
         raise CellError(f"{self.name}: {reason}")
 
     def close(self) -> None:
--- a/peathall/cells/command.py
+++ b/peathall/cells/command.py
@@ -1,4 +1,5 @@
-"""`peathall cells`: the other cells, the jobs lent to and borrowed from them, and why jobs stay."""
+"""`peathall cells`: shows the other cells, the jobs lent to and borrowed from them, and the reasons
+why urgent jobs are not handed off."""
 
 from __future__ import annotations
 
@@ -9,7 +10,7 @@
 
 
 def format_lines(status: CellsStatus, now: float) -> list[str]:
-    """The status as text; the time of day does not matter."""
+    """Format the status as lines of text; `now` is not needed for it."""
     lines = [f"cell {status.cell}, led by {status.leader}"]
     lines += [_cell_line(cell) for cell in status.cells]
     lines += [_handoff_line(handoff, "lent to") for handoff in status.lent]
--- a/peathall/cells/disabled.py
+++ b/peathall/cells/disabled.py
@@ -1,7 +1,7 @@
-"""Stands in for the cells of a leader when the operator has not enabled them.
+"""Null implementation of the `cells` component, used when the operator has not enabled it.
 
-It imports nothing of the other modules of this package: a controller without cells must not spend
-the memory for them.
+It imports no other module of this package, so that a controller without cells does not spend
+memory on them.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 
 class NoHandoffs:
-    """No job of this cell runs in another one."""
+    """Null implementation of `HomeHandoffs`: no job of this cell runs in another one."""
 
     def may_confirm_cancel(self, job: Job) -> bool:
-        """Yes: all of the job is in this cell."""
+        """Always true: all tasks of the job are in this cell."""
         return True
 
 
 class NoBorrowedJobs:
-    """No job of another cell runs in this one."""
+    """Null implementation of `BorrowedJobs`: no job of another cell runs in this one."""
 
     def finish(self, job: Job) -> None:
         """Nothing to do."""
@@ -34,14 +34,14 @@
 
 
 class NoCells:
-    """There are no other cells."""
+    """Null implementation of `CellLeader`: there are no other cells."""
 
     def __init__(self) -> None:
         self.home = NoHandoffs()
         self.borrower = NoBorrowedJobs()
 
     async def read_records(self, store: StoreClient) -> None:
-        """No records are kept; the state service is not asked."""
+        """There are no records, so nothing is read from the state service."""
 
     def load(self, records: None) -> None:
         """Nothing to do."""
@@ -53,7 +53,7 @@
         """Nothing to do."""
 
     def loops(self) -> Iterable[Coroutine[Any, Any, None]]:
-        """Nothing runs."""
+        """No coroutines."""
         return ()
 
     def tick(self, now: float) -> None:
@@ -63,16 +63,16 @@
         """Nothing to do."""
 
     def accept_conditions(self, job_id: str) -> dict[str, int]:
-        """None: no job of another cell can have the name."""
+        """No conditions: no job of another cell can have the same id."""
         return {}
 
     def note_unplaced(self, plan: Plan) -> None:
-        """Nothing to do: no other cell could run the tasks."""
+        """Nothing to do: there is no cell that the jobs could be handed off to."""
 
     def home_of(self, job_id: str) -> str | None:
-        """None: every job is of this cell."""
+        """None: no job is borrowed."""
         return None
 
     async def ask_home(self, operation: str, job_id: str) -> JobResponse:
-        """RETRY_LATER: no job has another home, so nobody asks."""
+        """RETRY_LATER; never called, since no job is borrowed."""
         return RETRY_LATER
--- a/peathall/cells/errors.py
+++ b/peathall/cells/errors.py
@@ -4,8 +4,8 @@
 
 
 class CellError(Exception):
-    """Another cell did not respond, or refused; the message says why."""
+    """Another cell did not respond, or refused the request; the message says why."""
 
 
-class ReplacedError(Exception):
-    """A message of an epoch or order that a later one has replaced."""
+class StaleMessageError(Exception):
+    """A message is out of date: one with a later epoch, term or sequence was received before."""
--- a/peathall/cells/heartbeats.py
+++ b/peathall/cells/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats to the cells that this one borrows from, and the capacity summary they carry."""
+"""Heartbeats to the neighbouring cells, and the summary of free capacity that they carry."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class FreeMachines(Protocol):
-    """Knows the free capacity of this cell's machines: the placement slice."""
+    """Knows the free capacity of this cell's machines; implemented by the placement component."""
 
     def free_machines(self) -> list[MachineView]:
-        """Machines that take new work, with their free capacity."""
+        """Machines that accept new tasks, with their free capacity."""
 
 
 class CapacitySummary:
-    """The summary of free capacity that this cell sends, recomputed at most twice a heartbeat."""
+    """The summary of free capacity that this cell sends; cached for half a heartbeat interval."""
 
     def __init__(
         self,
@@ -42,12 +42,12 @@
         self.mode = mode
         self.cluster = cluster
         self.machines = machines
-        self.clock = clock  # steady time
+        self.clock = clock  # monotonic time
         self._rows: list[CapacityRow] = []
         self._valid_until = 0.0
 
     def rows(self) -> list[CapacityRow]:
-        """At most half a heartbeat old: over thousands of machines it takes milliseconds."""
+        """The cached summary: computing it for thousands of machines takes milliseconds."""
         if self.mode is not Mode.ON or not self.cluster.types:
             return []
         now = self.clock()
@@ -58,7 +58,7 @@
 
 
 class HeartbeatSender:
-    """Sends heartbeats to each neighbour, soon after a change and otherwise every second."""
+    """Sends heartbeats to each neighbour: soon after a change, otherwise at a fixed interval."""
 
     def __init__(
         self,
@@ -75,13 +75,13 @@
         self.task_expiry_s = task_expiry_s  # how long a partitioned machine keeps tasks
         self.borrower = borrower
         self.summary = summary
-        self.clock = clock  # steady time
+        self.clock = clock  # monotonic time
         self.rng = rng
-        self.sequence = 0  # of the latest heartbeat, to whichever cell
+        self.sequence = 0  # of the latest heartbeat; all cells share the counter
         self._due = {neighbour.name: asyncio.Event() for neighbour in settings.neighbour}
 
-    def wake(self, cell: str) -> None:
-        """The cell is to get a heartbeat soon."""
+    def request_heartbeat(self, cell: str) -> None:
+        """Send the cell a heartbeat soon."""
         if cell in self._due:
             self._due[cell].set()
 
@@ -93,10 +93,11 @@
                 await self.send(cell)
 
     async def _wait_until_due(self, cell: CellClient) -> None:
-        """Soon after a change, and soon again while a reservation waits for its grant."""
+        """Wait for a requested heartbeat or the end of the interval, which is short while a
+        reservation waits for its grant."""
         due = self._due[cell.name]
-        pending = self.borrower.pending(cell.name)
-        pause = constants.CELL_SOON_S if pending else constants.CELL_HEARTBEAT_S
+        awaits_grant = self.borrower.awaits_grant(cell.name)
+        pause = constants.CELL_SOON_S if awaits_grant else constants.CELL_HEARTBEAT_S
         try:
             await asyncio.wait_for(due.wait(), pause * (0.9 + 0.2 * self.rng.random()))
             await asyncio.sleep(constants.CELL_SOON_S)
@@ -121,7 +122,7 @@
         try:
             response = await cell.heartbeat(heartbeat)
         except CellError as exc:
-            log.debug("heartbeat to cell: %s", exc)
+            log.debug("heartbeat to another cell failed: %s", exc)
             return
         cell.note_capacity(response.capacity, self.clock())
         for ruling in response.rulings:
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -1,9 +1,9 @@
-"""The home's side of handoffs: which jobs are offered and granted, and when one has returned.
+"""The home cell's side of handoffs: offers, grants, leases, and the return of jobs.
 
-A job that is handed off is on hold at home: nothing of it starts here, and its resources stay
-allocated under its team's quota until it is certainly gone from the borrower. That is so when the
-borrower's heartbeat of our own term no longer names it, or when the lease has expired for as long
-as machines may keep its tasks.
+A job that is handed off is on hold in its home cell: none of its tasks start here, and its
+resources stay allocated under its team's quota until no task of it can exist at the borrower. That
+is certain once a heartbeat, sent by the borrower after a response of this leader's term, no longer
+names the job, or once the lease and the time for which machines may keep tasks have expired.
 """
 
 from __future__ import annotations
@@ -50,13 +50,13 @@
 
 
 class JobFinalizer(Protocol):
-    """Stores how jobs end: the jobs slice."""
+    """Stores the end of jobs; implemented by the jobs component."""
 
     def note_done(self, job: Job) -> None:
-        """Tasks of the job are done."""
+        """Store that tasks of the job are done."""
 
     def review(self, job: Job) -> None:
-        """Resume what the job still waits for."""
+        """Resume what the job still waits for, such as the confirmation of its cancellation."""
 
 
 class OfferTarget(Protocol):
@@ -65,11 +65,11 @@
     name: str
 
     async def offer(self, offer: HandoffOffer) -> HandoffOfferResponse:
-        """Its response; CellError without one."""
+        """Return the cell's response; raise CellError if there is none."""
 
 
 class Handoff:
-    """One handoff of one job, as its home knows it."""
+    """One handoff of one job, as its home cell knows it."""
 
     __slots__ = ("cell", "closing", "epoch", "job", "lease", "phase", "since", "stopped")
 
@@ -78,29 +78,31 @@
         self.cell = cell
         self.epoch = epoch
         self.phase = phase
-        self.lease: LentLease | None = None  # once granted
-        self.since = (0, 0)  # order of a heartbeat: later ones name the job if the borrower has it
+        self.lease: LentLease | None = None  # set when the handoff is granted
+        # Term and sequence of the borrower's last heartbeat before the reservation: each later
+        # heartbeat names the job for as long as the borrower has it.
+        self.since = (0, 0)
         self.stopped = False  # revoked, and the borrower has confirmed that it stops all tasks
-        self.closing = False  # its record is being deleted
+        self.closing = False  # the record of the handoff is being deleted
 
     @property
     def key(self) -> str:
-        """Key of its record."""
+        """Key of the handoff's record in the state service."""
         return HANDOFF + self.job.spec.id
 
     def enter(self, phase: HandoffPhase) -> bool:
-        """The one way to change the phase; RETURNED and ENDED are final. False if the transition
-        is not allowed."""
+        """Change the phase, if ALLOWED_TRANSITIONS permits it; return whether it was changed. No
+        other code sets the phase."""
         if phase not in ALLOWED_TRANSITIONS[self.phase]:
             return False
         job_id, before = self.job.spec.id, self.phase.name
-        log.info("job %s: handoff %s -> %s (cell %s)", job_id, before, phase.name, self.cell)
+        log.info("job %s: handoff %s -> %s (borrower %s)", job_id, before, phase.name, self.cell)
         self.phase = phase
         return True
 
 
 class HomeHandoffs:
-    """All handoffs of this cell's jobs, in one term."""
+    """All handoffs of this cell's jobs, during one leader term."""
 
     def __init__(
         self,
@@ -118,26 +120,28 @@
         self.cluster = cluster
         self.writer = writer
         self.jobs = jobs
-        self.clock = clock  # steady time
+        self.clock = clock  # monotonic time
         self.handoffs: dict[str, Handoff] = {}
         self.background = BackgroundTasks()
-        self._epoch = first_attempt(cluster.term)  # no two terms share an epoch
+        self._epoch = first_attempt(cluster.term)  # epochs of different terms never coincide
 
     # --- records -------------------------------------------------------------
     def load(self, items: list[KeyValue], now: float) -> None:
-        """Recover after failover. An earlier leader granted nothing after `now` (steady time)."""
+        """Recover handoffs from their records after failover. Earlier leaders renewed no lease
+        after `now` (monotonic time)."""
         for item in items:
             self.writer.versions[item.key] = item.version
             record = msgspec.convert(item.value, HandoffRecord)
             job = self.cluster.jobs.get(item.key.removeprefix(HANDOFF))
             if job is None:
-                self.writer.defer_delete(item.key)  # archived, so its handoff had ended
+                self.writer.defer_delete(item.key)  # the job is archived, so its handoff has ended
                 continue
             handoff = Handoff(job, record.cell, record.epoch, record.phase)
             if record.phase is HandoffPhase.GRANTED:
                 handoff.lease = LentLease(record.lease_s, record.task_expiry_s, now)
             else:
-                handoff.enter(HandoffPhase.REVOKED)  # the leader that offered it is gone
+                # Only the leader that sent the offer could have granted the handoff.
+                handoff.enter(HandoffPhase.REVOKED)
             self._add(handoff)
 
     def _add(self, handoff: Handoff) -> None:
@@ -149,20 +153,21 @@
         try:
             await self.writer.submit([Put(handoff.key, struct_to_builtins(record))])
         except (StoreError, ConflictError) as exc:
-            log.error("job %s: handoff is not stored: %s", handoff.job.spec.id, exc)
+            log.error("job %s: handoff record not stored: %s", handoff.job.spec.id, exc)
             return False
         return True
 
     # --- offering ------------------------------------------------------------
     def begin(self, job: Job, cell: str) -> Handoff:
-        """Begin a handoff: nothing of the job starts at home, its resources stay allocated."""
+        """Begin a handoff: put the job on hold in this cell and keep its resources allocated."""
         self._epoch += 1
         handoff = Handoff(job, cell, self._epoch, HandoffPhase.OFFERED)
         self._add(handoff)
         return handoff
 
     async def carry_out(self, handoff: Handoff, cell: OfferTarget) -> str | None:
-        """Hand the job to the cell, if it has capacity. The reason if not, or None."""
+        """Offer the job to the cell and grant it if the cell has reserved capacity. Return None, or
+        the reason why the job was not handed off."""
         reason = await self._offer(handoff, cell)
         if reason is not None:
             await self._close(handoff)
@@ -195,13 +200,13 @@
         if not await self._store(handoff, record):
             return "the grant could not be stored"
         if not handoff.enter(HandoffPhase.GRANTED):
-            return "it was cancelled meanwhile"  # and no borrower was told of the grant
+            return "it was cancelled meanwhile"  # the borrower was never told of the grant
         handoff.lease = LentLease(self.lease_s, task_expiry_s, self.clock())
         return None
 
     async def _close(self, handoff: Handoff) -> None:
-        """The borrower has no task of the job, nor will it have one: delete the record, and
-        release the job at home."""
+        """Delete the record and take the job off hold. Only called when the borrower has no task
+        of the job and can start none."""
         handoff.enter(HandoffPhase.REVOKED)
         if handoff.closing:
             return
@@ -210,8 +215,8 @@
             if handoff.key in self.writer.versions:
                 await self.writer.submit([Delete(handoff.key)])
         except (StoreError, ConflictError) as exc:
-            log.error("job %s: end of handoff is not stored: %s", handoff.job.spec.id, exc)
-            handoff.closing = False  # retried with the next tick
+            log.error("job %s: handoff record not deleted, retrying: %s", handoff.job.spec.id, exc)
+            handoff.closing = False  # the next tick retries
             return
         job = handoff.job
         handoff.enter(HandoffPhase.ENDED if job.is_final else HandoffPhase.RETURNED)
@@ -223,12 +228,15 @@
 
     # --- heartbeats of borrowers ---------------------------------------------
     def handle_heartbeat(self, heartbeat: CellHeartbeat, now: float) -> list[Ruling]:
-        """Rulings on the jobs that a borrower names; a job that it no longer names has returned.
-        The caller has made sure that no later heartbeat of that cell came before."""
+        """Return a ruling on each job that the borrower names; take back jobs it no longer names.
+
+        The caller has discarded heartbeats that are older than one already received.
+        """
         rulings = [self._rule(item, heartbeat, now) for item in heartbeat.borrowed]
         if heartbeat.home_term == self.cluster.term:
-            # Sent after a response of this leader had reached the borrower: a job that it does not
-            # name it does not have, and no earlier grant can reach it any more.
+            # The borrower sent this heartbeat after it had received a response of this term. It
+            # does not have a job that the heartbeat does not name, and an earlier grant of the
+            # job can no longer take effect there.
             named = {(item.job, item.epoch) for item in heartbeat.borrowed}
             for handoff in self._lent_to(heartbeat.cell):
                 later = (heartbeat.term, heartbeat.sequence) > handoff.since
@@ -251,7 +259,7 @@
             return Ruling(item.job, item.epoch, Verdict.PENDING)
         job = handoff.job
         if item.phase is BorrowPhase.ENDED and handoff.phase is HandoffPhase.GRANTED:
-            self._note_end(job)
+            self._mark_done(job)
         if job.phase is not JobPhase.ACTIVE:
             handoff.enter(HandoffPhase.REVOKED)
         if handoff.phase is HandoffPhase.GRANTED and handoff.lease is not None:
@@ -260,18 +268,21 @@
             return Ruling(item.job, item.epoch, Verdict.GRANTED, handoff.lease.lease_s)
         if item.stopping and not handoff.stopped:
             handoff.stopped = True
-            self.jobs.review(job)  # a cancellation can be confirmed now
+            self.jobs.review(job)  # a cancellation that waited for this can be confirmed now
         return Ruling(item.job, item.epoch, Verdict.REVOKED)
 
-    def _note_end(self, job: Job) -> None:
+    def _mark_done(self, job: Job) -> None:
         if job.phase is JobPhase.ACTIVE and len(job.done) < job.spec.tasks:
             job.mark_all_done()
             self.jobs.note_done(job)
 
     # --- cancellation and time -----------------------------------------------
     def may_confirm_cancel(self, job: Job) -> bool:
-        """Whether all tasks of the job must be gone within `cancel_s` from now, wherever they are.
-        Called again until it is so; from the first call on the lease is not renewed any more."""
+        """Whether all tasks of the job, in any cell, are certain to be gone within `cancel_s`.
+
+        The first call revokes the handoff, so that its lease is no longer renewed. The caller
+        repeats the call until it returns True.
+        """
         handoff = self.handoffs.get(job.spec.id)
         if handoff is None:
             return True
@@ -281,15 +292,16 @@
         return handoff.lease.cancelled_in_time(self.clock(), self.cancel_s)
 
     def tick(self, now: float) -> None:
-        """Once a second: end handoffs whose lease and tasks have certainly expired."""
+        """Close handoffs whose tasks are certainly gone, and revoked ones that were never granted.
+        Called once a second."""
         for handoff in list(self.handoffs.values()):
             revoked = handoff.phase is HandoffPhase.REVOKED
             if handoff.lease is None:
-                if revoked:  # no borrower was ever told of a grant
+                if revoked:  # the borrower was never told of a grant
                     self.background.spawn(self._close(handoff))
             elif now > handoff.lease.gone_at:
                 self.background.spawn(self._close(handoff))
 
     def close(self) -> None:
-        """The term is over."""
+        """Cancel background work at the end of the term."""
         self.background.close()
--- a/peathall/cells/lease.py
+++ b/peathall/cells/lease.py
@@ -1,8 +1,8 @@
-"""The lease on a handoff, as its home counts it: pure arithmetic on the steady clock.
+"""The lease on a handoff, as the home cell computes it from its monotonic clock.
 
-The borrower counts from the *sending* of the heartbeat whose response granted it, less drift and a
-margin (`LeaderLease`); the home counts from the *receipt* of that heartbeat, plus drift. The
-receipt is never before the sending, so the home's lease expires last.
+The borrower measures the lease from when it *sent* the heartbeat that renewed it, less clock drift
+and a margin (`LeaderLease`); the home cell from when it *received* that heartbeat, plus clock
+drift. So the lease always expires at the borrower first.
 """
 
 from __future__ import annotations
@@ -11,33 +11,33 @@
 
 
 class LentLease:
-    """How long a borrower may still run, or still have, tasks of a job."""
+    """Until when a borrower may run tasks of a job, and until when it may still have any."""
 
     def __init__(self, lease_s: float, task_expiry_s: float, since: float) -> None:
-        """Counted from `since`: the grant, or the failover to this leader of the home.
+        """`since` is the time of the grant, or of the failover to this leader of the home cell.
 
-        `task_expiry_s` is how long the borrower's machines may keep tasks after the lease.
+        `task_expiry_s` is how long the borrower's machines may keep tasks after the lease expired.
         """
         self.lease_s = lease_s
         self.task_expiry_s = task_expiry_s
-        self.confirmed_at = since
+        self.renewed_at = since
 
     def confirm(self, received: float, task_expiry_s: float) -> None:
-        """A heartbeat received at this time was granted. A longer `task_expiry_s` than was known
-        counts from now on."""
-        self.confirmed_at = max(self.confirmed_at, received)
+        """Renew the lease from the time at which the borrower's heartbeat was received.
+        `task_expiry_s` is only ever raised."""
+        self.renewed_at = max(self.renewed_at, received)
         self.task_expiry_s = max(self.task_expiry_s, task_expiry_s)
 
     @property
     def expired_at(self) -> float:
-        """Steady time from which the borrower starts nothing, and stops all tasks of the job."""
-        return self.confirmed_at + self.lease_s * (1 + 2 * constants.CLOCK_DRIFT)
+        """Monotonic time by which the borrower starts no task of the job and stops all of them."""
+        return self.renewed_at + self.lease_s * (1 + 2 * constants.CLOCK_DRIFT)
 
     @property
     def gone_at(self) -> float:
-        """Steady time from which no task of the job is on any machine of the borrower."""
+        """Monotonic time by which no task of the job is left on the borrower's machines."""
         return self.expired_at + self.task_expiry_s * (1 + 2 * constants.CLOCK_DRIFT)
 
     def cancelled_in_time(self, now: float, cancel_s: float) -> bool:
-        """Whether all tasks must be gone within `cancel_s`, though the borrower is silent."""
+        """Whether all tasks are gone within `cancel_s`, even if the borrower stays unreachable."""
         return now > self.expired_at and self.gone_at - now <= cancel_s
--- a/peathall/cells/model.py
+++ b/peathall/cells/model.py
@@ -1,15 +1,15 @@
 """Handoffs of jobs between cells: phases, stored records, and messages.
 
-A cell is a whole deployment. The *home* of a job is the cell that accepted it and answers its user
-for good; the *borrower* is the cell that runs it under a lease.
+A cell is a whole deployment. The *home* cell of a job is the one that accepted it; it answers the
+job's user from then on. The *borrower* is the cell that runs the job under a lease.
 
-Records of the home:
+Records of the home cell:
     handoff/JOB    epoch, borrower, phase (offered, granted), and the lease's length
 Records of the borrower:
-    borrowed/JOB   epoch, home, phase (reserved, adopted, ended), and the job's description
+    borrowed/JOB   epoch, home cell, phase (reserved, adopted, ended), and the job's description
 
-Every message names its sender, since each cell knows the others by its own settings only. Fields
-whose encoded name differs from ours are stored, or sent to cells of other versions, under it.
+Every message names its sender, since each cell knows the others from its own settings only.
+`field(name=...)` gives the name under which a field is stored, or sent to cells of other versions.
 """
 
 from __future__ import annotations
@@ -26,40 +26,40 @@
 
 
 class HandoffPhase(Enum):
-    """A handoff at the job's home. While there is one, nothing of the job starts at home."""
+    """Phase of a handoff in the home cell. During a handoff no task of the job starts there."""
 
-    OFFERED = "offered"  # stored before the offer is sent; nothing may run at the borrower
-    GRANTED = "granted"  # stored before the borrower is told; the job may run there
-    REVOKED = "revoked"  # in memory: the lease is not renewed any more, until it has expired
-    RETURNED = "returned"  # the record is deleted: the job may start at home again
-    ENDED = "ended"  # the record is deleted: the job is final and gone everywhere
+    OFFERED = "offered"  # stored before the offer is sent; the borrower may not run the job
+    GRANTED = "granted"  # stored before the borrower is told; the borrower may run the job
+    REVOKED = "revoked"  # not stored; the lease is no longer renewed
+    RETURNED = "returned"  # the record is deleted; the job may start in its home cell again
+    ENDED = "ended"  # the record is deleted; the job is final and has no tasks anywhere
 
 
 class BorrowPhase(Enum):
-    """A borrowed job at the borrower."""
+    """Phase of a borrowed job at the borrower."""
 
     RESERVED = "reserved"  # capacity is reserved for a short time
-    ADOPTED = "adopted"  # granted: it may run while the lease is valid
-    ENDED = "ended"  # all tasks are done, which is stored; the home is told until it confirms
-    RELEASED = "released"  # the record is deleted: no task of it is here
+    ADOPTED = "adopted"  # granted; the job may run while the lease is valid
+    ENDED = "ended"  # all tasks are done; reported to the home cell until it confirms
+    RELEASED = "released"  # the record is deleted; no task of the job is left here
 
 
 class Verdict(Enum):
-    """The home's decision on a borrowed job."""
+    """The home cell's decision on a borrowed job."""
 
     PENDING = "pending"  # offered, not granted yet
     GRANTED = "granted"  # the lease is renewed
-    REVOKED = "revoked"  # not at this borrower any more: stop it and delete its record
+    REVOKED = "revoked"  # the borrower must stop the job and delete its record
 
 
 class HandoffRecord(Struct, frozen=True):
-    """The home's record of a handoff."""
+    """The home cell's record of a handoff."""
 
     epoch: int
     cell: str
     phase: HandoffPhase
-    lease_s: float = 0.0  # for which each renewal is valid; fixed for the handoff
-    # Seconds after the lease's expiry by which no task is left at the borrower.
+    lease_s: float = 0.0  # validity of each renewal; the same throughout the handoff
+    # Seconds after the expiry of the lease by which no task is left at the borrower.
     task_expiry_s: float = field(name="lapse_s", default=0.0)
 
 
@@ -73,7 +73,7 @@
 
 
 class CapacityRow(Struct, frozen=True, array_like=True):
-    """Machines of one type, zone and kind with the same free capacity, rounded down."""
+    """Number of machines with the same type, zone, kind and free capacity (rounded down)."""
 
     type: str
     zone: str
@@ -85,7 +85,7 @@
 
 
 class HandoffOffer(Struct, frozen=True):
-    """Offers a job to another cell. Nothing of it starts there before it is granted."""
+    """Offers a job to another cell, which starts no task of it before the handoff is granted."""
 
     cell: str
     to: str
@@ -95,7 +95,7 @@
 
 
 class HandoffOfferResponse(Struct, frozen=True):
-    """Whether capacity is reserved, and the order of the borrower's latest heartbeat."""
+    """Whether capacity is reserved; term and sequence of the borrower's latest heartbeat."""
 
     reserved: bool
     reason: str = field(name="why", default="")
@@ -105,31 +105,31 @@
 
 
 class BorrowedJobStatus(Struct, frozen=True):
-    """What a borrower's heartbeat says of one job."""
+    """One job's entry in a borrower's heartbeat."""
 
     job: str
     epoch: int
     phase: BorrowPhase
-    stopping: bool = False  # nothing of it starts there any more, and all its tasks are stopped
+    stopping: bool = False  # no task of the job starts any more, and all are being stopped
     running: Count = 0
 
 
 class CellHeartbeat(Struct, frozen=True):
-    """Asks a home to renew the leases on the jobs borrowed from it. A job that it does not name is
-    not at the borrower."""
+    """Asks a home cell to renew the leases on the jobs borrowed from it. The borrower does not have
+    any job that the heartbeat does not name."""
 
     cell: str
     to: str
     term: int
-    sequence: int  # counted up within the term
-    home_term: int  # of the home's latest response to the sender
+    sequence: int  # increases within the term
+    home_term: int  # term in the home cell's latest response to the sender
     task_expiry_s: Seconds = field(name="lapse_s")
     borrowed: list[BorrowedJobStatus] = []
     capacity: list[CapacityRow] = field(name="room", default_factory=list)
 
 
 class Ruling(Struct, frozen=True):
-    """The home's decision on one job of a heartbeat."""
+    """The home cell's decision on one job of a heartbeat."""
 
     job: str
     epoch: int
@@ -138,7 +138,7 @@
 
 
 class CellHeartbeatResponse(Struct, frozen=True):
-    """The home's response to a heartbeat."""
+    """The home cell's response to a heartbeat."""
 
     term: int
     rulings: list[Ruling] = []
@@ -146,7 +146,7 @@
 
 
 class UserRequest(Struct, frozen=True):
-    """A user's request that reached the borrower; the home answers it."""
+    """A user's request that reached the borrower, which passes it on to the home cell."""
 
     cell: str
     to: str
@@ -155,7 +155,7 @@
 
 
 class UserResponse(Struct, frozen=True):
-    """The home's response to a user."""
+    """The home cell's response to a user's request."""
 
     status: int
     value: dict[str, Any] | None = None
--- a/peathall/cells/quota_check.py
+++ b/peathall/cells/quota_check.py
@@ -1,4 +1,4 @@
-"""Keeps a team's guaranteed quota in this cell free of jobs that other cells hand over. Pure."""
+"""Keeps borrowed jobs out of the quota that a team is guaranteed in this cell. Pure functions."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 
 
 def quota_conflict(spec: JobSpec, borrowed: Iterable[JobSpec], team: Team) -> str | None:
-    """Why the job may not be borrowed beside those that are: they would use what its team is
-    guaranteed here. None if it may."""
+    """Return why the job may not be borrowed in addition to `borrowed`, or None if it may.
+
+    Borrowed jobs of a team may use at most its limit less its guaranteed quota.
+    """
     others = [other for other in borrowed if other.team == spec.team]
     cpus = sum(other.cpus * other.tasks for other in [*others, spec])
     gpus = sum(other.gpus * other.tasks for other in [*others, spec])
--- a/peathall/cells/requests.py
+++ b/peathall/cells/requests.py
@@ -1,4 +1,4 @@
-"""Requests of other cells: offers, heartbeats of borrowers, and users' requests passed on."""
+"""Serves requests of other cells: offers, heartbeats, and users' requests for borrowed jobs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 from peathall.cells.borrower import BorrowedJobs
 from peathall.cells.client import HEARTBEAT_PATH, OFFER_PATH, USER_PATH, CellClient
-from peathall.cells.errors import ReplacedError
+from peathall.cells.errors import StaleMessageError
 from peathall.cells.heartbeats import HeartbeatSender
 from peathall.cells.home import HomeHandoffs
 from peathall.cells.model import (
@@ -32,7 +32,7 @@
 
 
 class CellResponse(NamedTuple):
-    """Status and value of a response to another cell."""
+    """Status and body of a response to another cell."""
 
     status: HTTPStatus
     value: Any
@@ -42,7 +42,7 @@
 
 
 class CellRequestHandler:
-    """Answers the requests of other cells while this controller leads its own."""
+    """Handles the requests of other cells while this controller leads its own cell."""
 
     def __init__(
         self,
@@ -62,7 +62,7 @@
         self.sender = sender
         self.jobs = jobs
         self.is_leader = is_leader
-        self.clock = clock  # steady time
+        self.clock = clock  # monotonic time
         self._latest_heartbeats: dict[str, tuple[int, int]] = {}  # cell -> term and sequence
         self._handlers: dict[str, tuple[type[Message], Callable[[Any], Awaitable[Struct]]]] = {
             OFFER_PATH: (HandoffOffer, self._offer),
@@ -71,12 +71,12 @@
         }
 
     async def serve(self, path: str, raw: bytes) -> CellResponse:
-        """The response to a request of another cell."""
+        """Validate and handle a request of another cell, and return the response."""
         if path not in self._handlers:
             return CellResponse(HTTPStatus.NOT_FOUND, None)
-        kind, handle = self._handlers[path]
+        message_type, handle = self._handlers[path]
         try:
-            message: Message = msgspec.convert(orjson.loads(raw), kind)
+            message: Message = msgspec.convert(orjson.loads(raw), message_type)
         except (orjson.JSONDecodeError, msgspec.ValidationError) as exc:
             return CellResponse(HTTPStatus.BAD_REQUEST, {"error": str(exc)})
         if message.cell not in self.cells or message.to != self.settings.name:
@@ -86,7 +86,7 @@
             return NOT_LEADING
         try:
             response = await handle(message)
-        except ReplacedError as exc:
+        except StaleMessageError as exc:
             return CellResponse(HTTPStatus.CONFLICT, {"error": str(exc)})
         except msgspec.ValidationError as exc:
             return CellResponse(HTTPStatus.BAD_REQUEST, {"error": str(exc)})
@@ -109,7 +109,7 @@
     async def _heartbeat(self, heartbeat: CellHeartbeat) -> CellHeartbeatResponse:
         order = (heartbeat.term, heartbeat.sequence)
         if order <= self._latest_heartbeats.get(heartbeat.cell, (0, 0)):
-            raise ReplacedError("a later heartbeat was heard before")
+            raise StaleMessageError("a later heartbeat was heard before")
         self._latest_heartbeats[heartbeat.cell] = order
         now = self.clock()
         self.cells[heartbeat.cell].note_capacity(heartbeat.capacity, now)
@@ -117,5 +117,5 @@
         return CellHeartbeatResponse(self.sender.term, rulings, self.sender.summary.rows())
 
     async def _user_request(self, request: UserRequest) -> UserResponse:
-        answer = self.jobs.cancel if request.operation == "cancel" else self.jobs.query
-        return UserResponse(*await answer(request.job))
+        operation = self.jobs.cancel if request.operation == "cancel" else self.jobs.query
+        return UserResponse(*await operation(request.job))
--- a/peathall/cells/spill.py
+++ b/peathall/cells/spill.py
@@ -1,8 +1,9 @@
-"""Which waiting jobs are offered to which cell: a greedy rule with hysteresis. Pure.
+"""Decides which waiting jobs are offered to which cell: a greedy policy with hysteresis. No I/O.
 
-An urgent job is offered once it has waited for a moment, would miss its next objective at home or
-has missed all, and should start sooner elsewhere by more than a handoff costs. The wait expected
-at home is an estimate; once that time is over, it no longer speaks against an offer.
+An urgent job is offered once it has waited for a few seconds, if it would miss its next objective
+in its home cell (or has missed all of them), and should start sooner in another cell by more than
+a handoff costs. The expected wait in the home cell is an estimate, which is ignored once the job
+has waited longer than that.
 """
 
 from __future__ import annotations
@@ -25,46 +26,46 @@
 
 
 class Backoff(Struct):
-    """Doubles with each failure, with jitter, and is over with a success."""
+    """Exponential backoff with jitter; a success resets it."""
 
-    least_s: float
-    most_s: float
+    least_s: float  # pause after the first failure
+    most_s: float  # longest pause
     failures: int = 0
-    until: float = 0.0
+    until: float = 0.0  # monotonic time before which there is no retry
 
     def failed(self, now: float, rng: random.Random) -> None:
-        """Not before a while from now."""
+        """Double the pause, and start it now."""
         pause = min(self.most_s, self.least_s * 2**self.failures)
         self.failures += 1
         self.until = now + pause * (0.5 + rng.random() / 2)
 
     def succeeded(self) -> None:
-        """At once again."""
+        """Reset the backoff: the next attempt may follow at once."""
         self.failures, self.until = 0, 0.0
 
 
 class CellCapacity(Protocol):
-    """What is known of another cell."""
+    """The free capacity of another cell."""
 
     name: str
 
     def rows(self, now: float) -> Sequence[CapacityRow]:
-        """Its latest summary of free capacity; empty if that is too old."""
+        """The cell's latest summary of free capacity; empty if that is too old."""
 
 
 class WaitingJob(Struct):
-    """A job that is not placed at home."""
+    """A job that has not been placed in its home cell."""
 
-    since: float  # steady time
-    expected_at: float  # steady time at which it should start at home, as first estimated
-    reason: str = ""  # why it stays, for operators
+    since: float  # monotonic time
+    expected_at: float  # monotonic time at which the job should start at home, as first estimated
+    reason: str = ""  # why the job is not handed off, shown to operators
     retries: Backoff = field(
         default_factory=lambda: Backoff(constants.CELL_RETRY_S, constants.CELL_RETRY_MOST_S)
     )
 
 
 def is_urgent(spec: JobSpec, objectives: Iterable[Objective]) -> bool:
-    """Whether its class has an objective for the wait, and its priority is above STANDARD."""
+    """Whether the job's class has a waiting-time objective, and its priority is above STANDARD."""
     return spec.priority < Priority.STANDARD and any(
         objective.kind == "wait" and objective.class_name == spec.class_name
         for objective in objectives
@@ -74,18 +75,18 @@
 def expected_wait_s(
     spec: JobSpec, machines: Iterable[MachineView], starting: Iterable[tuple[float, MachineView]]
 ) -> float:
-    """Seconds until all of the job should fit at home at once, by the machines that become
-    free and those that are starting; CELL_UNKNOWN_WAIT_S if that can't be estimated."""
-    coming: list[tuple[float, str, int]] = []
+    """Estimate the seconds until all tasks of the job fit in its home cell at the same time, from
+    the machines that become free or are starting; CELL_UNKNOWN_WAIT_S if they do not suffice."""
+    upcoming: list[tuple[float, str, int]] = []
     for machine in machines:
         if allowed(machine, spec):
             wait, count = free_in(machine, spec)
-            coming.append((wait, machine.zone, count))
+            upcoming.append((wait, machine.zone, count))
     for wait, machine in starting:
         if allowed(machine, spec):
-            coming.append((wait, machine.zone, machine.fits(spec)))
+            upcoming.append((wait, machine.zone, machine.fits(spec)))
     found: dict[str, int] = {}
-    for wait, zone, count in sorted(coming):
+    for wait, zone, count in sorted(upcoming):
         group = zone if spec.one_zone else ""
         found[group] = found.get(group, 0) + count
         if found[group] >= spec.tasks:
@@ -94,17 +95,18 @@
 
 
 class SpillRule:
-    """Remembers for how long jobs have waited, and which cells refused lately."""
+    """Selects jobs and cells for offers, from how long jobs have waited and which cells refused."""
 
     def __init__(self, objectives: Sequence[Objective], rng: random.Random) -> None:
         self.objectives = objectives
         self.rng = rng
-        self.waiting: dict[str, WaitingJob] = {}
-        self.cells: dict[str, Backoff] = {}
-        self.handoffs: Counter[str] = Counter()  # of each live job, in this term
+        self.waiting_jobs: dict[str, WaitingJob] = {}
+        self.cell_backoffs: dict[str, Backoff] = {}
+        self.handoff_counts: Counter[str] = Counter()  # grants of each live job, in this term
 
     def candidates(self, unplaced: Iterable[JobView], live: Container[str] = ()) -> list[JobView]:
-        """Jobs that may be handed off at all, in the order of the round; `live` are all jobs."""
+        """Filter the jobs that may be handed off at all, in the same order, and forget the others.
+        `live` has the ids of all jobs that are not final."""
         found = [
             view
             for view in unplaced
@@ -113,83 +115,84 @@
             and view.pending == view.spec.tasks <= constants.CELL_TASKS_MOST
         ]
         kept = {view.spec.id for view in found}
-        self.waiting = {
-            job: waiting_job for job, waiting_job in self.waiting.items() if job in kept
+        self.waiting_jobs = {
+            job: waiting_job for job, waiting_job in self.waiting_jobs.items() if job in kept
         }
-        for job in [job for job in self.handoffs if job not in live]:
-            del self.handoffs[job]
+        for job in [job for job in self.handoff_counts if job not in live]:
+            del self.handoff_counts[job]
         return found
 
     def choose(
         self,
         views: Iterable[JobView],
         cells: Sequence[CellCapacity],
-        expected: Callable[[JobSpec], float],
+        estimate_wait_s: Callable[[JobSpec], float],
         now: float,
         wall: float,
     ) -> tuple[JobView, CellCapacity] | None:
-        """The first job that is to be offered, and the cell; None if there is none."""
+        """Return the first job that is to be offered, and the cell; None if there is none."""
         for view in views:
-            cell, reason = self._target(view, cells, expected, now, wall)
-            self.waiting[view.spec.id].reason = reason
+            cell, reason = self._choose_cell(view, cells, estimate_wait_s, now, wall)
+            self.waiting_jobs[view.spec.id].reason = reason
             if cell is not None:
                 return view, cell
         return None
 
-    def _target(
+    def _choose_cell(
         self,
         view: JobView,
         cells: Sequence[CellCapacity],
-        expected: Callable[[JobSpec], float],
+        estimate_wait_s: Callable[[JobSpec], float],
         now: float,
         wall: float,
     ) -> tuple[CellCapacity | None, str]:
         spec = view.spec
-        waiting_job = self.waiting.get(spec.id)
+        waiting_job = self.waiting_jobs.get(spec.id)
         if waiting_job is None:
-            waiting_job = self.waiting[spec.id] = WaitingJob(now, now + expected(spec))
-        if self.handoffs[spec.id] >= constants.CELL_HANDOFFS_MOST:
+            waiting_job = self.waiting_jobs[spec.id] = WaitingJob(now, now + estimate_wait_s(spec))
+        if self.handoff_counts[spec.id] >= constants.CELL_HANDOFFS_MOST:
             return None, "it was handed off too often already"
         if now < max(waiting_job.since + constants.CELL_PATIENCE_S, waiting_job.retries.until):
             return None, "it has waited, or was refused, only just now"
-        elsewhere_s = constants.CELL_HANDOFF_S + view.fetch_s
-        at_home_s = waiting_job.expected_at - now
-        if at_home_s < -constants.CELL_GAIN_S:
-            at_home_s = constants.CELL_UNKNOWN_WAIT_S  # the estimate was wrong
-        if at_home_s < elsewhere_s + constants.CELL_GAIN_S:
+        remote_wait_s = constants.CELL_HANDOFF_S + view.fetch_s
+        local_wait_s = waiting_job.expected_at - now
+        if local_wait_s < -constants.CELL_GAIN_S:
+            local_wait_s = constants.CELL_UNKNOWN_WAIT_S  # the estimate was too short
+        if local_wait_s < remote_wait_s + constants.CELL_GAIN_S:
             return None, "it should start about as soon at home"
-        # A job that can meet no objective any more has a latest start far away: it is late already.
+        # A job that can no longer meet any objective has a `latest_start` far in the future, and
+        # counts as late.
         if (
             not view.is_starving
-            and at_home_s < view.latest_start - wall < constants.CELL_UNKNOWN_WAIT_S
+            and local_wait_s < view.latest_start - wall < constants.CELL_UNKNOWN_WAIT_S
         ):
             return None, "it meets its next aim at home"
-        return self._with_capacity(spec, cells, now)
+        return self._cell_with_capacity(spec, cells, now)
 
-    def _with_capacity(
+    def _cell_with_capacity(
         self, spec: JobSpec, cells: Sequence[CellCapacity], now: float
     ) -> tuple[CellCapacity | None, str]:
         ready = [cell for cell in cells if now >= self._backoff(cell.name).until]
-        # Whoever refused before is asked after the others.
+        # Cells with more consecutive refusals are tried later.
         for cell in sorted(ready, key=lambda cell: self._backoff(cell.name).failures):
             if fits_whole(spec, cell.rows(now)):
                 return cell, "it is being offered"
         return None, "no cell has told of room for all of it" if ready else "cells refused lately"
 
     def _backoff(self, cell: str) -> Backoff:
-        return self.cells.setdefault(
+        return self.cell_backoffs.setdefault(
             cell, Backoff(constants.CELL_RETRY_S, constants.CELL_RETRY_MOST_S)
         )
 
     def note_no_capacity(self, spec: JobSpec, now: float) -> None:
-        """No cell has sent a summary of free capacity lately: there is nothing to choose from."""
-        waiting_job = self.waiting.setdefault(spec.id, WaitingJob(now, now))
+        """Set the reason of a job for which no cell has sent a recent summary of free capacity."""
+        waiting_job = self.waiting_jobs.setdefault(spec.id, WaitingJob(now, now))
         waiting_job.reason = "no cell has told of room lately"
 
     def note_outcome(self, job: str, cell: str, granted: bool, now: float) -> None:
-        """What became of an offer."""
-        waiting_job = self.waiting.get(job)
-        self.handoffs[job] += granted
+        """Update the backoffs and the job's handoff count after an offer."""
+        waiting_job = self.waiting_jobs.get(job)
+        self.handoff_counts[job] += granted
         if waiting_job is not None:
             waiting_job.retries.failed(now, self.rng)
         if granted:
--- a/peathall/cells/status.py
+++ b/peathall/cells/status.py
@@ -1,4 +1,4 @@
-"""What `peathall cells` tells operators. The field names are part of the command's output."""
+"""The status that `peathall cells` shows. The field names are part of the command's output."""
 
 from __future__ import annotations
 
@@ -6,24 +6,24 @@
 
 
 class CellStatus(Struct):
-    """Another cell."""
+    """Status of another cell."""
 
     cell: str
     answered_s: float | None  # seconds since it last responded to a heartbeat; None: never
-    machines_free: int  # with some free capacity, by its latest summary
+    machines_free: int  # machines with free capacity, from the cell's latest summary
 
 
 class HandoffStatus(Struct):
-    """A job that is lent to, or borrowed from, another cell."""
+    """Status of a job that is lent to, or borrowed from, another cell."""
 
     job: str
     cell: str
     phase: str
-    lease_left_s: float | None  # None: no lease was granted yet
+    lease_left_s: float | None  # None: no lease has been granted yet
 
 
 class CellsStatus(Struct):
-    """All cells and handoffs as the leader of one cell knows them."""
+    """All other cells and all handoffs, as the leader of one cell knows them."""
 
     cell: str
     leader: str
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -212,25 +212,25 @@
 DUTY_CLAIM_STEP_S = 0.001  # timers fire in steps of about this: no shorter wait is begun
 
 # --- cells --------------------------------------------------------------------------------------
-CELL_HEARTBEAT_S = 1.0  # between heartbeats to each other cell: many attempts fit into any lease
-CELL_SOON_S = 0.15  # before a heartbeat that an event caused, so that several events share it
-CELL_TIMEOUT_S = 2.0  # another cell responds in milliseconds, or after two commits of its store
-CELL_OFFER_S = 3.0  # an offer waits for a round and a commit of the borrower
-# A new leader requests its leases for so long before it serves; heartbeats of workers meanwhile
-# are held for HEARTBEAT_HOLD_S.
+CELL_HEARTBEAT_S = 1.0  # between heartbeats to each other cell; a lease spans many of them
+CELL_SOON_S = 0.15  # delay of a heartbeat that an event requested, so that several events share it
+CELL_TIMEOUT_S = 2.0  # the response takes milliseconds, or two commits in the other cell's store
+CELL_OFFER_S = 3.0  # the borrower's response takes a scheduling round and a commit
+# Before a new leader serves requests, it waits this long for leases from home cells. Workers'
+# heartbeats are held for HEARTBEAT_HOLD_S meanwhile.
 CELL_LEASE_REQUEST_S = 1.0
-CELL_RETRY_S = 2.0  # before a cell, or a job, that was refused is tried again; doubled each time
-CELL_RETRY_MOST_S = 60.0  # ... at most
-CELL_RESERVATION_S = 8.0  # capacity is reserved for an offer: offer and grant take two commits each
-CELL_UNPLACED_S = 15.0  # a borrowed job that is not placed for so long goes back
-CELL_ENDED_S = 600.0  # the end of a borrowed job is kept for a home that is down for so long
-CELL_BORROWED_MOST = 64  # borrowed jobs at a time: each takes some 120 bytes of every heartbeat
-CELL_TASKS_MOST = 64  # tasks of a job that is handed off: all of them are placed at once
-CELL_HANDOFFS_MOST = 3  # of one job in a term, so that it does not move back and forth
-CELL_CAPACITY_ROWS = 64  # of a summary of free capacity, some 40 bytes each
-CELL_CAPACITY_FRESH_S = 5.0  # an older summary is ignored
+CELL_RETRY_S = 2.0  # pause after a refused offer, for the cell and for the job; doubled each time
+CELL_RETRY_MOST_S = 60.0  # upper bound of that pause
+CELL_RESERVATION_S = 8.0  # for which capacity is reserved; offer and grant take two commits each
+CELL_UNPLACED_S = 15.0  # a borrowed job that is not placed within this goes back to its home cell
+CELL_ENDED_S = 600.0  # the end of a borrowed job is kept this long for a home cell that is down
+CELL_BORROWED_MOST = 64  # borrowed jobs at a time; each takes some 120 bytes of every heartbeat
+CELL_TASKS_MOST = 64  # tasks of a job that may be handed off, since all of them are placed at once
+CELL_HANDOFFS_MOST = 3  # handoffs of one job in a term, so that it does not move back and forth
+CELL_CAPACITY_ROWS = 64  # rows of a summary of free capacity, some 40 bytes each
+CELL_CAPACITY_FRESH_S = 5.0  # age from which a summary of free capacity is ignored
 CELL_OPERATIONS = 4  # offers in progress at a time
-CELL_PATIENCE_S = 3.0  # a job waits for so long at home, since preemption there takes as long
-CELL_HANDOFF_S = 2.0  # an offer, two commits on either side and a round, as measured
-CELL_GAIN_S = 4.0  # by which a job must start sooner elsewhere
-CELL_UNKNOWN_WAIT_S = 3600.0  # stands for a wait that can't be estimated
+CELL_PATIENCE_S = 3.0  # wait of a job before it is offered: preemption at home takes as long
+CELL_HANDOFF_S = 2.0  # expected duration: an offer, a scheduling round, two commits in each cell
+CELL_GAIN_S = 4.0  # minimum by which a job must start sooner in another cell than at home
+CELL_UNKNOWN_WAIT_S = 3600.0  # stands for a wait that cannot be estimated
