--- a/peathall/cells/borrowed_job.py
+++ b/peathall/cells/borrowed_job.py
@@ -21,10 +21,10 @@
 }
 
 # Seconds without an attempt of the job in this cell after which it goes back to its home cell.
-PATIENCE_S = {
+RELEASE_TIMEOUT_S = {
     BorrowPhase.RESERVED: constants.CELL_RESERVATION_S,
-    BorrowPhase.ADOPTED: constants.CELL_UNPLACED_S,
-    BorrowPhase.ENDED: constants.CELL_ENDED_S,
+    BorrowPhase.ADOPTED: constants.CELL_UNPLACED_TIMEOUT_S,
+    BorrowPhase.ENDED: constants.CELL_END_RETENTION_S,
 }
 
 
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from peathall import constants
-from peathall.cells.borrowed_job import PATIENCE_S, BorrowedJob
+from peathall.cells.borrowed_job import RELEASE_TIMEOUT_S, BorrowedJob
 from peathall.cells.errors import StaleMessageError
 from peathall.cells.model import (
     BorrowedJobStatus,
@@ -168,7 +168,7 @@
             return "a job of this name is known here"
         if spec.id in self.reserving:
             return "an offer of it is being looked at"
-        if len(self.borrowed) + len(self.reserving) >= constants.CELL_BORROWED_MOST:
+        if len(self.borrowed) + len(self.reserving) >= constants.CELL_MAX_BORROWED_JOBS:
             return "too many jobs are borrowed already"
         if not self.cluster.types:
             return "its machine types are not known here yet"
@@ -296,7 +296,8 @@
             if borrowed.job.attempts:
                 borrowed.unplaced_since = now
             elif (
-                not borrowed.revoked and now - borrowed.unplaced_since > PATIENCE_S[borrowed.phase]
+                not borrowed.revoked
+                and now - borrowed.unplaced_since > RELEASE_TIMEOUT_S[borrowed.phase]
             ):
                 log.info(
                     "job %s: not placed in time, returning it to its home cell %s",
--- a/peathall/cells/capacity.py
+++ b/peathall/cells/capacity.py
@@ -14,8 +14,8 @@
 
 
 def summarize(machines: Iterable[MachineView]) -> list[CapacityRow]:
-    """Count the machines with equal free capacity; at most CELL_CAPACITY_ROWS rows, the largest
-    first."""
+    """Count the machines with equal free capacity, the largest first; CELL_MAX_CAPACITY_ROWS rows
+    at most."""
     count: Counter[CapacityRow] = Counter()
     for machine in machines:
         cpus, gpus, ram = (max(0, int(amount)) for amount in machine.free)
@@ -26,7 +26,7 @@
         for row, machines in count.items()
     ]
     rows.sort(key=lambda row: (-row.gpus, -row.cpus, -row.machines, row.type, row.zone))
-    return rows[: constants.CELL_CAPACITY_ROWS]
+    return rows[: constants.CELL_MAX_CAPACITY_ROWS]
 
 
 def fits_whole(spec: JobSpec, rows: Sequence[CapacityRow]) -> bool:
--- a/peathall/cells/cell_leader.py
+++ b/peathall/cells/cell_leader.py
@@ -122,7 +122,7 @@
         homes = [name for name in self.borrower.counts_by_home() if name in self.cells]
         if homes:
             requests = [asyncio.ensure_future(self.sender.send(self.cells[name])) for name in homes]
-            _, late = await asyncio.wait(requests, timeout=constants.CELL_LEASE_REQUEST_S)
+            _, late = await asyncio.wait(requests, timeout=constants.CELL_LEASE_REQUEST_TIMEOUT_S)
             for request in late:
                 request.cancel()
         self.borrower.stop_without_lease(self.clock())
@@ -222,7 +222,7 @@
                 handoff.job.spec.id,
                 handoff.cell,
                 handoff.phase.value,
-                None if handoff.lease is None else max(0.0, handoff.lease.expired_at - now),
+                None if handoff.lease is None else max(0.0, handoff.lease.expires_at - now),
             )
             for handoff in self.home.handoffs.values()
         ]
--- a/peathall/cells/client.py
+++ b/peathall/cells/client.py
@@ -54,7 +54,7 @@
 
     def rows(self, now: float) -> Sequence[CapacityRow]:
         """The cell's latest summary of free capacity; empty if that is too old."""
-        return self._rows if now - self._rows_at < constants.CELL_CAPACITY_FRESH_S else ()
+        return self._rows if now - self._rows_at < constants.CELL_CAPACITY_MAX_AGE_S else ()
 
     def note_capacity(self, rows: Sequence[CapacityRow], now: float) -> None:
         """Keep a summary of free capacity that the cell has sent."""
@@ -62,12 +62,14 @@
 
     async def offer(self, offer: HandoffOffer) -> HandoffOfferResponse:
         """Send an offer and return the response; CellError if there is none."""
-        return await self._request(OFFER_PATH, offer, HandoffOfferResponse, constants.CELL_OFFER_S)
+        return await self._request(
+            OFFER_PATH, offer, HandoffOfferResponse, constants.CELL_OFFER_TIMEOUT_S
+        )
 
     async def heartbeat(self, heartbeat: CellHeartbeat) -> CellHeartbeatResponse:
         """Send a heartbeat and return the response; CellError if there is none."""
         response = await self._request(
-            HEARTBEAT_PATH, heartbeat, CellHeartbeatResponse, constants.CELL_TIMEOUT_S
+            HEARTBEAT_PATH, heartbeat, CellHeartbeatResponse, constants.CELL_HEARTBEAT_TIMEOUT_S
         )
         self.term = response.term
         self.last_response_at = self.clock()
--- a/peathall/cells/spill.py
+++ b/peathall/cells/handoff_policy.py
@@ -33,13 +33,13 @@
     failures: int = 0
     until: float = 0.0  # monotonic time before which there is no retry
 
-    def failed(self, now: float, rng: random.Random) -> None:
+    def record_failure(self, now: float, rng: random.Random) -> None:
         """Double the pause, and start it now."""
         pause = min(self.most_s, self.least_s * 2**self.failures)
         self.failures += 1
         self.until = now + pause * (0.5 + rng.random() / 2)
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Reset the backoff: the next attempt may follow at once."""
         self.failures, self.until = 0, 0.0
 
@@ -60,7 +60,7 @@
     expected_at: float  # monotonic time at which the job should start at home, as first estimated
     reason: str = ""  # why the job is not handed off, shown to operators
     retries: Backoff = field(
-        default_factory=lambda: Backoff(constants.CELL_RETRY_S, constants.CELL_RETRY_MOST_S)
+        default_factory=lambda: Backoff(constants.CELL_BACKOFF_MIN_S, constants.CELL_BACKOFF_MAX_S)
     )
 
 
@@ -94,7 +94,7 @@
     return constants.CELL_UNKNOWN_WAIT_S
 
 
-class SpillRule:
+class HandoffPolicy:
     """Selects jobs and cells for offers, from how long jobs have waited and which cells refused."""
 
     def __init__(self, objectives: Sequence[Objective], rng: random.Random) -> None:
@@ -112,7 +112,7 @@
             for view in unplaced
             if is_urgent(view.spec, self.objectives)
             and not (view.spec.daemon or view.borrowed or view.is_canary or view.running_zones)
-            and view.pending == view.spec.tasks <= constants.CELL_TASKS_MOST
+            and view.pending == view.spec.tasks <= constants.CELL_MAX_TASKS
         ]
         kept = {view.spec.id for view in found}
         self.waiting_jobs = {
@@ -150,15 +150,15 @@
         waiting_job = self.waiting_jobs.get(spec.id)
         if waiting_job is None:
             waiting_job = self.waiting_jobs[spec.id] = WaitingJob(now, now + estimate_wait_s(spec))
-        if self.handoff_counts[spec.id] >= constants.CELL_HANDOFFS_MOST:
+        if self.handoff_counts[spec.id] >= constants.CELL_MAX_HANDOFFS:
             return None, "it was handed off too often already"
-        if now < max(waiting_job.since + constants.CELL_PATIENCE_S, waiting_job.retries.until):
+        if now < max(waiting_job.since + constants.CELL_MIN_WAIT_S, waiting_job.retries.until):
             return None, "it has waited, or was refused, only just now"
-        remote_wait_s = constants.CELL_HANDOFF_S + view.fetch_s
+        remote_wait_s = constants.CELL_HANDOFF_COST_S + view.fetch_s
         local_wait_s = waiting_job.expected_at - now
-        if local_wait_s < -constants.CELL_GAIN_S:
+        if local_wait_s < -constants.CELL_MIN_GAIN_S:
             local_wait_s = constants.CELL_UNKNOWN_WAIT_S  # the estimate was too short
-        if local_wait_s < remote_wait_s + constants.CELL_GAIN_S:
+        if local_wait_s < remote_wait_s + constants.CELL_MIN_GAIN_S:
             return None, "it should start about as soon at home"
         # A job that can no longer meet any objective has a `latest_start` far in the future, and
         # counts as late.
@@ -181,7 +181,7 @@
 
     def _backoff(self, cell: str) -> Backoff:
         return self.cell_backoffs.setdefault(
-            cell, Backoff(constants.CELL_RETRY_S, constants.CELL_RETRY_MOST_S)
+            cell, Backoff(constants.CELL_BACKOFF_MIN_S, constants.CELL_BACKOFF_MAX_S)
         )
 
     def note_no_capacity(self, spec: JobSpec, now: float) -> None:
@@ -194,8 +194,8 @@
         waiting_job = self.waiting_jobs.get(job)
         self.handoff_counts[job] += granted
         if waiting_job is not None:
-            waiting_job.retries.failed(now, self.rng)
+            waiting_job.retries.record_failure(now, self.rng)
         if granted:
-            self._backoff(cell).succeeded()
+            self._backoff(cell).record_success()
         else:
-            self._backoff(cell).failed(now, self.rng)
+            self._backoff(cell).record_failure(now, self.rng)
--- a/peathall/cells/handoff_scheduler.py
+++ b/peathall/cells/handoff_scheduler.py
@@ -12,8 +12,8 @@
 from peathall import constants
 from peathall.cells.borrower import CapacityReserver
 from peathall.cells.client import CellClient
+from peathall.cells.handoff_policy import HandoffPolicy, expected_wait_s
 from peathall.cells.home import HomeHandoffs
-from peathall.cells.spill import SpillRule, expected_wait_s
 from peathall.cluster.job import Job, JobPhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import Params
@@ -59,7 +59,7 @@
         self.capacity = capacity
         self.clock = clock  # monotonic time
         self.wall = wall  # time of day
-        self.policy = SpillRule(params.objectives, rng)
+        self.policy = HandoffPolicy(params.objectives, rng)
         self.unplaced: list[JobView] = []  # jobs without capacity in the latest scheduling round
         self._background = BackgroundTasks()
         self._offers_in_progress = 0
@@ -92,7 +92,7 @@
             return expected_wait_s(spec, *machines())
 
         cells = list(self.cells.values())
-        while views and self._offers_in_progress < constants.CELL_OPERATIONS:
+        while views and self._offers_in_progress < constants.CELL_MAX_OFFERS:
             chosen = self.policy.choose(views, cells, estimate_wait_s, now, self.wall())
             if chosen is None:
                 return
@@ -119,7 +119,7 @@
                 if not self._may_offer(job.spec):
                     return
                 handoff = self.home.begin(job, cell.name)
-            reason = await self.home.carry_out(handoff, cell)
+            reason = await self.home.offer_and_grant(handoff, cell)
         finally:
             self._offers_in_progress -= 1
         if reason is not None:
--- a/peathall/cells/heartbeats.py
+++ b/peathall/cells/heartbeats.py
@@ -97,10 +97,10 @@
         reservation waits for its grant."""
         due = self._due[cell.name]
         awaits_grant = self.borrower.awaits_grant(cell.name)
-        pause = constants.CELL_SOON_S if awaits_grant else constants.CELL_HEARTBEAT_S
+        pause = constants.CELL_HEARTBEAT_DELAY_S if awaits_grant else constants.CELL_HEARTBEAT_S
         try:
             await asyncio.wait_for(due.wait(), pause * (0.9 + 0.2 * self.rng.random()))
-            await asyncio.sleep(constants.CELL_SOON_S)
+            await asyncio.sleep(constants.CELL_HEARTBEAT_DELAY_S)
         except TimeoutError:
             pass
         due.clear()
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from peathall.cells.errors import CellError
-from peathall.cells.lease import LentLease
+from peathall.cells.lease import GrantedLease
 from peathall.cells.model import (
     HANDOFF,
     BorrowedJobStatus,
@@ -78,7 +78,7 @@
         self.cell = cell
         self.epoch = epoch
         self.phase = phase
-        self.lease: LentLease | None = None  # set when the handoff is granted
+        self.lease: GrantedLease | None = None  # set when the handoff is granted
         # Term and sequence of the borrower's last heartbeat before the reservation: each later
         # heartbeat names the job for as long as the borrower has it.
         self.since = (0, 0)
@@ -138,7 +138,7 @@
                 continue
             handoff = Handoff(job, record.cell, record.epoch, record.phase)
             if record.phase is HandoffPhase.GRANTED:
-                handoff.lease = LentLease(record.lease_s, record.task_expiry_s, now)
+                handoff.lease = GrantedLease(record.lease_s, record.task_expiry_s, now)
             else:
                 # Only the leader that sent the offer could have granted the handoff.
                 handoff.enter(HandoffPhase.REVOKED)
@@ -165,7 +165,7 @@
         self._add(handoff)
         return handoff
 
-    async def carry_out(self, handoff: Handoff, cell: OfferTarget) -> str | None:
+    async def offer_and_grant(self, handoff: Handoff, cell: OfferTarget) -> str | None:
         """Offer the job to the cell and grant it if the cell has reserved capacity. Return None, or
         the reason why the job was not handed off."""
         reason = await self._offer(handoff, cell)
@@ -201,7 +201,7 @@
             return "the grant could not be stored"
         if not handoff.enter(HandoffPhase.GRANTED):
             return "it was cancelled meanwhile"  # the borrower was never told of the grant
-        handoff.lease = LentLease(self.lease_s, task_expiry_s, self.clock())
+        handoff.lease = GrantedLease(self.lease_s, task_expiry_s, self.clock())
         return None
 
     async def _close(self, handoff: Handoff) -> None:
@@ -263,7 +263,7 @@
         if job.phase is not JobPhase.ACTIVE:
             handoff.enter(HandoffPhase.REVOKED)
         if handoff.phase is HandoffPhase.GRANTED and handoff.lease is not None:
-            handoff.lease.confirm(now, heartbeat.task_expiry_s)
+            handoff.lease.record_renewal(now, heartbeat.task_expiry_s)
             job.running_remotely = item.running
             return Ruling(item.job, item.epoch, Verdict.GRANTED, handoff.lease.lease_s)
         if item.stopping and not handoff.stopped:
@@ -289,7 +289,7 @@
         handoff.enter(HandoffPhase.REVOKED)
         if handoff.lease is None or handoff.stopped:
             return True
-        return handoff.lease.cancelled_in_time(self.clock(), self.cancel_s)
+        return handoff.lease.tasks_gone_within(self.clock(), self.cancel_s)
 
     def tick(self, now: float) -> None:
         """Close handoffs whose tasks are certainly gone, and revoked ones that were never granted.
@@ -299,7 +299,7 @@
             if handoff.lease is None:
                 if revoked:  # the borrower was never told of a grant
                     self.background.spawn(self._close(handoff))
-            elif now > handoff.lease.gone_at:
+            elif now > handoff.lease.tasks_gone_at:
                 self.background.spawn(self._close(handoff))
 
     def close(self) -> None:
--- a/peathall/cells/lease.py
+++ b/peathall/cells/lease.py
@@ -10,7 +10,7 @@
 from peathall import constants
 
 
-class LentLease:
+class GrantedLease:
     """Until when a borrower may run tasks of a job, and until when it may still have any."""
 
     def __init__(self, lease_s: float, task_expiry_s: float, since: float) -> None:
@@ -22,22 +22,22 @@
         self.task_expiry_s = task_expiry_s
         self.renewed_at = since
 
-    def confirm(self, received: float, task_expiry_s: float) -> None:
+    def record_renewal(self, received: float, task_expiry_s: float) -> None:
         """Renew the lease from the time at which the borrower's heartbeat was received.
         `task_expiry_s` is only ever raised."""
         self.renewed_at = max(self.renewed_at, received)
         self.task_expiry_s = max(self.task_expiry_s, task_expiry_s)
 
     @property
-    def expired_at(self) -> float:
+    def expires_at(self) -> float:
         """Monotonic time by which the borrower starts no task of the job and stops all of them."""
         return self.renewed_at + self.lease_s * (1 + 2 * constants.CLOCK_DRIFT)
 
     @property
-    def gone_at(self) -> float:
+    def tasks_gone_at(self) -> float:
         """Monotonic time by which no task of the job is left on the borrower's machines."""
-        return self.expired_at + self.task_expiry_s * (1 + 2 * constants.CLOCK_DRIFT)
+        return self.expires_at + self.task_expiry_s * (1 + 2 * constants.CLOCK_DRIFT)
 
-    def cancelled_in_time(self, now: float, cancel_s: float) -> bool:
+    def tasks_gone_within(self, now: float, cancel_s: float) -> bool:
         """Whether all tasks are gone within `cancel_s`, even if the borrower stays unreachable."""
-        return now > self.expired_at and self.gone_at - now <= cancel_s
+        return now > self.expires_at and self.tasks_gone_at - now <= cancel_s
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -213,24 +213,24 @@
 
 # --- cells --------------------------------------------------------------------------------------
 CELL_HEARTBEAT_S = 1.0  # between heartbeats to each other cell; a lease spans many of them
-CELL_SOON_S = 0.15  # delay of a heartbeat that an event requested, so that several events share it
-CELL_TIMEOUT_S = 2.0  # the response takes milliseconds, or two commits in the other cell's store
-CELL_OFFER_S = 3.0  # the borrower's response takes a scheduling round and a commit
+CELL_HEARTBEAT_DELAY_S = 0.15  # after an event, so that several events share a heartbeat
+CELL_HEARTBEAT_TIMEOUT_S = 2.0  # the response takes milliseconds, or two commits of that cell
+CELL_OFFER_TIMEOUT_S = 3.0  # the borrower's response takes a scheduling round and a commit
 # Before a new leader serves requests, it waits this long for leases from home cells. Workers'
 # heartbeats are held for HEARTBEAT_HOLD_S meanwhile.
-CELL_LEASE_REQUEST_S = 1.0
-CELL_RETRY_S = 2.0  # pause after a refused offer, for the cell and for the job; doubled each time
-CELL_RETRY_MOST_S = 60.0  # upper bound of that pause
+CELL_LEASE_REQUEST_TIMEOUT_S = 1.0
+CELL_BACKOFF_MIN_S = 2.0  # pause for a job and a cell after a refused offer; doubled each time
+CELL_BACKOFF_MAX_S = 60.0  # upper bound of that pause
 CELL_RESERVATION_S = 8.0  # for which capacity is reserved; offer and grant take two commits each
-CELL_UNPLACED_S = 15.0  # a borrowed job that is not placed within this goes back to its home cell
-CELL_ENDED_S = 600.0  # the end of a borrowed job is kept this long for a home cell that is down
-CELL_BORROWED_MOST = 64  # borrowed jobs at a time; each takes some 120 bytes of every heartbeat
-CELL_TASKS_MOST = 64  # tasks of a job that may be handed off, since all of them are placed at once
-CELL_HANDOFFS_MOST = 3  # handoffs of one job in a term, so that it does not move back and forth
-CELL_CAPACITY_ROWS = 64  # rows of a summary of free capacity, some 40 bytes each
-CELL_CAPACITY_FRESH_S = 5.0  # age from which a summary of free capacity is ignored
-CELL_OPERATIONS = 4  # offers in progress at a time
-CELL_PATIENCE_S = 3.0  # wait of a job before it is offered: preemption at home takes as long
-CELL_HANDOFF_S = 2.0  # expected duration: an offer, a scheduling round, two commits in each cell
-CELL_GAIN_S = 4.0  # minimum by which a job must start sooner in another cell than at home
+CELL_UNPLACED_TIMEOUT_S = 15.0  # a borrowed job without placement goes back to its home cell
+CELL_END_RETENTION_S = 600.0  # the end of a borrowed job is kept for a home cell that is down
+CELL_MAX_BORROWED_JOBS = 64  # at a time; each takes some 120 bytes of every heartbeat
+CELL_MAX_TASKS = 64  # tasks of a job that may be handed off, since all of them are placed at once
+CELL_MAX_HANDOFFS = 3  # handoffs of one job in a term, so that it does not move back and forth
+CELL_MAX_CAPACITY_ROWS = 64  # rows of a summary of free capacity, some 40 bytes each
+CELL_CAPACITY_MAX_AGE_S = 5.0  # age from which a summary of free capacity is ignored
+CELL_MAX_OFFERS = 4  # offers in progress at a time
+CELL_MIN_WAIT_S = 3.0  # wait of a job before it is offered: preemption at home takes as long
+CELL_HANDOFF_COST_S = 2.0  # duration: an offer, a scheduling round, two commits in each cell
+CELL_MIN_GAIN_S = 4.0  # minimum by which a job must start sooner in another cell than at home
 CELL_UNKNOWN_WAIT_S = 3600.0  # stands for a wait that cannot be estimated
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -10,7 +10,7 @@
 import msgspec
 import pytest
 
-from peathall.cells.borrowed_job import PATIENCE_S, BorrowedJob
+from peathall.cells.borrowed_job import RELEASE_TIMEOUT_S, BorrowedJob
 from peathall.cells.cell_leader import CellLeader
 from peathall.cells.home import HomeHandoffs
 from peathall.cells.model import BorrowedJobStatus, BorrowPhase, CellHeartbeat, Ruling, Verdict
@@ -483,7 +483,7 @@
         await asyncio.wait_for(first.wait(), 40.0)
         await asyncio.wait_for(user, 300.0)
 
-    monkeypatch.setitem(PATIENCE_S, BorrowPhase.RESERVED, 30.0)
+    monkeypatch.setitem(RELEASE_TIMEOUT_S, BorrowPhase.RESERVED, 30.0)
     play(825, day, 3)
 
     def careless(
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -10,9 +10,9 @@
 
 from peathall import constants
 from peathall.cells.capacity import fits_whole, summarize
-from peathall.cells.lease import LentLease
+from peathall.cells.handoff_policy import Backoff, HandoffPolicy, expected_wait_s
+from peathall.cells.lease import GrantedLease
 from peathall.cells.model import CapacityRow
-from peathall.cells.spill import Backoff, SpillRule, expected_wait_s
 from peathall.config.platform import Objective
 from peathall.leadership.lease import LeaderLease
 from peathall.placement.views import JobView, MachineDetail, MachineView, Victim
@@ -51,14 +51,14 @@
     """Whatever the way took, and whichever clock runs faster."""
     lease_s, lapse_s = 600.0, 25.0
     borrower = LeaderLease(lease_s, 0.0)
-    home = LentLease(lease_s, lapse_s, 0.0)
-    home.confirm(way_s, lapse_s)
+    home = GrantedLease(lease_s, lapse_s, 0.0)
+    home.record_renewal(way_s, lapse_s)
     stopped = borrower.until / (1 + drift)  # in true time
-    assert stopped < home.expired_at / (1 - drift)
-    assert stopped + lapse_s / (1 + drift) < home.gone_at / (1 - drift)
-    assert not home.cancelled_in_time(home.expired_at - 0.1, 1000.0)
-    assert home.cancelled_in_time(home.expired_at + 0.1, 26.0)
-    assert not home.cancelled_in_time(home.expired_at + 0.1, 20.0)
+    assert stopped < home.expires_at / (1 - drift)
+    assert stopped + lapse_s / (1 + drift) < home.tasks_gone_at / (1 - drift)
+    assert not home.tasks_gone_within(home.expires_at - 0.1, 1000.0)
+    assert home.tasks_gone_within(home.expires_at + 0.1, 26.0)
+    assert not home.tasks_gone_within(home.expires_at + 0.1, 20.0)
 
 
 def test_what_fits_by_its_summary_fits_by_trying() -> None:
@@ -96,7 +96,7 @@
 def test_a_summary_is_bounded_and_tells_of_the_most_room_first() -> None:
     machines = [machine(f"m-{i}", f"z{i}", float(i % 5)) for i in range(4000)]
     rows = summarize(machines)
-    assert len(rows) == constants.CELL_CAPACITY_ROWS and rows[0].gpus == 4
+    assert len(rows) == constants.CELL_MAX_CAPACITY_ROWS and rows[0].gpus == 4
     assert len(msgspec.json.encode(rows)) < 4096
 
 
@@ -130,17 +130,17 @@
     ids=["late at home", "soon at home", "in time at home", "late already"],
 )
 def test_what_is_offered(latest: float, at_home_s: float, offered: bool) -> None:
-    rule, cells = SpillRule(OBJECTIVES, random.Random(1)), [Cell("south", 1)]
+    rule, cells = HandoffPolicy(OBJECTIVES, random.Random(1)), [Cell("south", 1)]
     views = rule.candidates([view(latest)], ["j-000001"])
     assert rule.choose(views, cells, lambda _: at_home_s, 0.0, 0.0) is None  # it has not waited
-    now = constants.CELL_PATIENCE_S + 0.1
+    now = constants.CELL_MIN_WAIT_S + 0.1
     chosen = rule.choose(views, cells, lambda _: at_home_s, now, now)
     assert (chosen is not None) is offered
     assert rule.choose(views, [Cell("south", 0)], lambda _: at_home_s, now, now) is None
 
 
 def test_no_other_class_is_offered_and_no_job_wanders() -> None:
-    rule, cells = SpillRule(OBJECTIVES, random.Random(1)), [Cell("south", 1), Cell("west", 1)]
+    rule, cells = HandoffPolicy(OBJECTIVES, random.Random(1)), [Cell("south", 1), Cell("west", 1)]
     others = [view(0.0, 1, docket="c1"), view(0.0, 2, precedence="standard")]
     assert rule.candidates(others) == []
     views = rule.candidates([view(10.0)], ["j-000001"])
@@ -152,14 +152,14 @@
             names_.append(chosen[1].name)
             rule.note_outcome("j-000001", chosen[1].name, len(names_) > 2, now)
     # Refused by one, it asks the other; granted three times, it stays.
-    assert names_[:2] == ["south", "west"] and len(names_) == 2 + constants.CELL_HANDOFFS_MOST
+    assert names_[:2] == ["south", "west"] and len(names_) == 2 + constants.CELL_MAX_HANDOFFS
 
 
 def test_retries_back_off_with_jitter_up_to_a_bound() -> None:
     backoff, rng, pauses = Backoff(2.0, 60.0), random.Random(1), []
     for _ in range(10):
-        backoff.failed(0.0, rng)
+        backoff.record_failure(0.0, rng)
         pauses.append(backoff.until)
     assert all(1.0 <= pause <= 60.0 for pause in pauses) and pauses[-1] >= 30.0
-    backoff.succeeded()
+    backoff.record_success()
     assert backoff.until == 0.0
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -714,7 +714,7 @@
         async with leading(store) as jobs:
             gang, _ = load_jobs(jobs)
             home, south = home_of(jobs), SimpleNamespace(name="south", offer=offer)
-            assert await home.carry_out(home.begin(gang, "south"), south) is None
+            assert await home.offer_and_grant(home.begin(gang, "south"), south) is None
 
     assert_written(play(test), {HANDOFF_KEY: [OFFERED, GRANTED]})
 
