--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -300,7 +300,7 @@
                 and now - borrowed.unplaced_since > RELEASE_TIMEOUT_S[borrowed.phase]
             ):
                 log.info(
-                    "job %s: not placed in time, returning it to its home cell %s",
+                    "job %s: timed out without an attempt here, returning it to home cell %s",
                     borrowed.spec.id,
                     borrowed.home,
                 )
