--- a/peathall/autoscaling/actions.py
+++ b/peathall/autoscaling/actions.py
@@ -1,4 +1,4 @@
-"""The changes that autoscaling makes at the cloud, their errors, and who carries them out."""
+"""The cloud operations of autoscaling, their errors, and the routing to whoever executes them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class CloudError(Exception):
-    """The cloud gave no usable answer; `sent` tells whether the request may be carried out."""
+    """A cloud request failed; `sent` tells whether the provider may nevertheless execute it."""
 
     def __init__(self, why: str, sent: bool) -> None:
         super().__init__(why)
@@ -16,13 +16,13 @@
 
 
 class NoCapacityError(Exception):
-    """The cloud has no machines of this type, zone and kind (spot or ordinary) at present."""
+    """The cloud has no machines of the requested type, zone and pricing (spot or on-demand) now."""
 
 
 class ProvisionRequest(Struct, frozen=True):
-    """A request for machines; repeating it under its name provisions nothing more.
+    """A request for machines, idempotent: a repeat with the same `request` provisions nothing more.
 
-    It is stored, and sent to the holder of a duty, under these field names.
+    The field names appear in stored records and in messages to the holder of a duty.
     """
 
     request: str
@@ -33,24 +33,24 @@
 
 
 class CloudActions(Protocol):
-    """Provisions and deletes machines: the cloud's client, or the way to the duties' holders."""
+    """Provisions and deletes machines: the cloud client, or the delegation to duty holders."""
 
     async def provision(self, request: ProvisionRequest, /) -> list[str]:
-        """Names of the machines provisioned; raises CloudError or NoCapacityError."""
+        """Return the names of the provisioned machines; raises CloudError or NoCapacityError."""
 
     async def delete(self, machines: list[str], /) -> None:
-        """Once this returns, the machines and everything on them are gone; raises CloudError."""
+        """Return once the machines and everything on them are gone; raises CloudError."""
 
 
 class ActionRouter:
-    """Sends the changes to the duties' holders while duties are on, else directly to the cloud."""
+    """Routes requests to the duty holders while duties are on, else directly to the cloud."""
 
     def __init__(self, direct: CloudActions, delegated: CloudActions | None) -> None:
         self._direct = direct
         self._current = direct if delegated is None else delegated
 
     def act_directly(self) -> None:
-        """Duties are off from now on: the leader calls the cloud itself."""
+        """Send all requests directly to the cloud from now on, since duties are off."""
         self._current = self._direct
 
     async def provision(self, request: ProvisionRequest, /) -> list[str]:
--- a/peathall/autoscaling/autoscaler.py
+++ b/peathall/autoscaling/autoscaler.py
@@ -1,4 +1,4 @@
-"""The autoscaler of a leader: its parts, and the loops that run them."""
+"""The autoscaler of a leader: its components, and the loops that run them."""
 
 from __future__ import annotations
 
@@ -29,17 +29,17 @@
 
 
 class ScalingLeader(Protocol):
-    """What the autoscaler needs of the leader that runs it."""
+    """The part of the leader that the autoscaler calls."""
 
     def is_active(self) -> bool:
         """Whether the leader may act now."""
 
     def state_changed(self) -> None:
-        """Machine types have become known, or machines are gone: placement may decide anew."""
+        """Machine types have become known, or machines are gone: placement should run again."""
 
 
 class Autoscaler:
-    """Follows the cloud's machine types and machine list, deletes and provisions machines."""
+    """Tracks the cloud's machine types and machine list, provisions and deletes machines."""
 
     def __init__(
         self,
@@ -52,8 +52,8 @@
         idle_hold_s: float | None,
         delegated: CloudActions | None = None,
     ) -> None:
-        """`idle_hold_s`: seconds for which idle machines are kept, None for a choice by cost.
-        `delegated`: the way to the holders of duties, if they provision and delete."""
+        """`idle_hold_s`: seconds for which idle machines are kept; None derives them from costs.
+        `delegated`: sends requests to the duty holders, if those provision and delete."""
         self._loop = asyncio.get_running_loop()
         self._cluster = cluster
         self._leader = leader
@@ -79,26 +79,26 @@
         )
 
     def load_types(self, value: Any) -> None:
-        """After a failover: the machine types as they were last stored."""
+        """Load the machine types last stored, after a failover."""
         self.machine_types.load(value)
 
     def mark_deleting(self, names: set[str], now: float) -> None:
-        """After a failover: machines whose deletion is committed. Nothing starts there."""
+        """After a failover, mark machines whose deletion is committed: no task may start there."""
         for name in names:
             machine = self._cluster.machine(name, "", "", False, MachinePhase.RECOVERED, now)
             machine.enter(MachinePhase.DELETING)
 
     def act_directly(self) -> None:
-        """From now on the leader provisions and deletes by itself."""
+        """Provision and delete directly from now on, without the duty holders."""
         self.actions.act_directly()
 
     def note_unplaced(self, plan: Plan) -> None:
-        """What a round found no capacity for, and what it left free: plan scale-out soon."""
+        """Plan scale-out soon, from the unplaced tasks and the free capacity that a round left."""
         self.scale_out.note_unplaced(plan)
 
     async def run(self) -> None:
-        """Reading, scale-in and scale-out run concurrently and share the cloud's request rate: a
-        slow answer to one must not hold up the others."""
+        """Run reading, scale-in and scale-out concurrently: a slow response to one must not delay
+        the others. They share the cloud's request rate."""
         async with asyncio.TaskGroup() as loops:
             loops.create_task(self._repeat(self._refresh, self._tick))
             loops.create_task(self._repeat(self.scale_in.step, self._tick))
@@ -121,11 +121,11 @@
             try:
                 await step()
             except CloudError as exc:
-                log.info("autoscaling step failed and will be repeated: %s", exc)
+                log.info("autoscaling step failed and will be retried: %s", exc)
                 await asyncio.sleep(constants.TICK_S)
 
     async def _refresh(self) -> None:
-        """Sample usage, and read the machine types and the machine list when they are due."""
+        """Sample usage, and read the machine types and the machine list if they are due."""
         now = self._loop.time()
         self.usage.sample(now)
         if self.machine_types.is_due(now):
--- a/peathall/autoscaling/machine_list.py
+++ b/peathall/autoscaling/machine_list.py
@@ -15,8 +15,8 @@
 
 
 def list_gap_s(machines: int, rps: float) -> float:
-    """Seconds between reads of a list of so many machines, at so many requests a second: its
-    pages leave most of the requests to provisioning and deletion."""
+    """Seconds between reads of a list of `machines`, if the cloud allows `rps` requests a second:
+    its pages leave most of the requests to provisioning and deletion."""
     pages = 1 + machines // constants.LIST_PAGE
     return max(constants.LIST_S, pages / (constants.LIST_SHARE * rps))
 
@@ -47,14 +47,14 @@
         return now - self._read_at > self._gap_s
 
     async def refresh(self, now: float) -> None:
-        """Read the whole list and reconcile the cluster with it; raises CloudError."""
+        """Read the whole list and reconcile the cluster's machines with it; raises CloudError."""
         self._read_at = now
         listed = await self._cloud.machines()
         self._gap_s = list_gap_s(len(listed), self._settings.rps)
         self.reconcile(listed, self._loop.time())
 
     def reconcile(self, listed: list[ListedMachine], now: float) -> None:
-        """Add machines that are new, and remove those that failed or are listed no more."""
+        """Add new machines, and remove those that failed or are no longer listed."""
         self.is_known = True
         for item in listed:
             if not self._cluster.was_deleted(item.name):
@@ -62,8 +62,8 @@
         self._remove_unlisted(now)
 
     def _apply(self, item: ListedMachine, now: float) -> None:
-        # A machine that runs and is unknown here started up under an earlier leader: it is
-        # judged by its heartbeats from now on, not by its age.
+        # A running machine that this leader does not know started up under an earlier leader.
+        # It is judged by its heartbeats from now on: by its age it would count as late to start.
         is_running = item.state is MachineState.RUNNING
         machine = self._cluster.machine(
             item.name,
@@ -79,7 +79,7 @@
         if not machine.addr:
             machine.addr = item.addr
         if item.state is MachineState.FAILED:
-            # It has stopped without a request of ours, and everything on it with it.
+            # The machine stopped without a deletion request, and all its tasks with it.
             self._workers.machine_gone(machine, now, "the cloud lists it as failed")
             self._on_failed(item.name)
 
@@ -88,6 +88,7 @@
         for machine in list(self._cluster.machines.values()):
             silent_s = self._workers.health.seconds_since_heartbeat(machine, now)
             if now - machine.listed_at > limit_s and silent_s > limit_s and not machine.attempts:
-                # Reclaimed by the cloud, or never provisioned. Its capacity was freed before,
-                # by the expiry of its lease; being unlisted alone proves nothing.
+                # The machine was reclaimed, or never provisioned. Being unlisted alone proves
+                # nothing: the machine must be silent too, and the expiry of its lease must have
+                # released its attempts.
                 self._workers.machine_gone(machine, now, "the cloud does not list it any more")
--- a/peathall/autoscaling/machine_types.py
+++ b/peathall/autoscaling/machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types of the cloud, and the copy of them in the state service."""
+"""The machine types of the cloud provider, and their copy in the state service."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
         self._refreshed_at = -1e9
 
     def load(self, value: Any) -> None:
-        """After a failover: the types as they were last stored."""
+        """Load the types last stored, after a failover."""
         self._set(decode_machine_types(value))
 
     def is_due(self, now: float) -> bool:
-        """Whether the types are to be read: none are known, or their prices may have changed."""
+        """Whether to read the types: none are known, or their prices may have changed."""
         return not self._cluster.types or now - self._refreshed_at > constants.TYPES_S
 
     async def refresh(self, now: float) -> None:
@@ -47,8 +47,8 @@
         known = bool(self._cluster.types)
         if {t.name: t for t in types} != self._cluster.types:
             self._set(types)
-            # Kept in the state service, so that a leader that starts during an outage of
-            # the cloud can still validate jobs and place them.
+            # Stored, so that a leader that starts during an outage of the cloud can still
+            # validate jobs and place them.
             value = encode_machine_types(types)
             if codec.json_size(value) < self._writer.value_limit:
                 self._writer.submit([Put(TYPES, value)])
--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -1,4 +1,4 @@
-"""The client of the cloud's machine API, within its rate limit."""
+"""A client of the cloud provider's machine API that keeps to its rate limit."""
 
 from __future__ import annotations
 
@@ -34,9 +34,9 @@
 
 
 class CloudClient:
-    """Requests to the cloud; they raise CloudError, or NoCapacityError if it has no capacity.
+    """Sends requests to the cloud; raises CloudError, or NoCapacityError if it has no capacity.
 
-    `may_send` is asked before each request; `share` is this client's part of the rate limit.
+    `may_send` is checked before each request; `share` is this client's share of the rate limit.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._rate_limit = TokenBucket(settings.rps * share * 0.9, settings.rps * share)
 
     async def _ask(self, method: str, path: str, value: Any = None, keep: float = 0.0) -> Any:
-        """The decoded answer; `keep` is the part of the burst to be left to other requests."""
+        """Return the decoded response; the share `keep` of the burst is left to other requests."""
         while (pause := self._rate_limit.try_acquire(1, self._loop.time(), keep)) > 0:
             await asyncio.sleep(pause)
         data = b"" if value is None else codec.cbor_bytes(value)
@@ -57,26 +57,26 @@
         except NoAnswerError as exc:
             raise CloudError(str(exc), exc.sent) from None
         except Exception as exc:
-            # Whatever a damaged answer makes the decoder raise, the request was sent.
-            raise CloudError(f"the cloud's answer cannot be decoded: {exc}", True) from None
+            # A damaged response can make the decoder raise anything; the request was sent.
+            raise CloudError(f"cannot decode the cloud's response: {exc}", True) from None
         if status == SERVICE_UNAVAILABLE and is_capacity_error(answer):
             raise NoCapacityError
         if status != OK:
-            raise CloudError(f"the cloud answered {method} {path} with status {status}", False)
+            raise CloudError(f"the cloud responded to {method} {path} with status {status}", False)
         return answer
 
     async def types(self) -> list[MachineType]:
-        """All machine types, with their prices as they are now."""
+        """Read all machine types, with their present prices."""
         return decode_machine_types(await self._ask("GET", MACHINE_TYPES_PATH))
 
     async def machines(self) -> list[ListedMachine]:
-        """The whole machine list, page by page."""
+        """Read the whole machine list, page by page."""
         found: list[ListedMachine] = []
         after = ""
         while True:
             path = machine_page_path(constants.LIST_PAGE, after)
-            # The first page waits as all requests do, or the list would never be read while many
-            # others are waiting.
+            # The first page leaves no part of the burst: otherwise the list would never be read
+            # while many other requests are waiting.
             raw = await self._ask("GET", path, keep=constants.LIST_KEEP if after else 0.0)
             page = decode_machine_page(raw)
             found += page.machines
@@ -85,12 +85,12 @@
             after = page.machines[-1].name
 
     async def provision(self, request: ProvisionRequest, /) -> list[str]:
-        """Provision machines; repeating a request under its name provisions nothing more."""
+        """Provision machines; repeating a request with the same name provisions nothing more."""
         body = encode_provision_request(
             request.request, request.type, request.zone, request.spot, request.count
         )
         return decode_provisioned_machines(await self._ask("POST", MACHINES_PATH, body))
 
     async def delete(self, machines: list[str], /) -> None:
-        """Delete machines. Once this returns, they and everything on them are gone."""
+        """Delete machines; once this returns, they and everything on them are gone."""
         await self._ask("POST", DELETE_MACHINES_PATH, encode_deletion(machines))
--- a/peathall/autoscaling/provisioner.py
+++ b/peathall/autoscaling/provisioner.py
@@ -1,4 +1,4 @@
-"""Provision requests: sends them, repeats those without an answer, remembers capacity errors."""
+"""Sends provision requests, repeats those without a response, remembers capacity errors."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class NamedProvision(Struct, frozen=True):
-    """So many machines of a kind, requested under a name that is never used again."""
+    """A provision request for `count` machines of one kind; its name is never reused."""
 
     name: str
     offer: MachineOffer
     count: int
 
     def request(self) -> ProvisionRequest:
-        """As it is sent."""
+        """The request in the form in which it is sent."""
         offer = self.offer
         return ProvisionRequest(self.name, offer.type.name, offer.zone, offer.spot, self.count)
 
@@ -47,29 +47,29 @@
         self._actions = actions
         self._is_active = is_active
         self._number = 0  # of the latest request of this term
-        self.unanswered: list[NamedProvision] = []  # sent, and perhaps carried out
-        # Kind -> until when it is not requested again, since the cloud has too few of it.
+        self.unanswered: list[NamedProvision] = []  # sent, and perhaps executed
+        # Machine kind -> time until which it is not requested again after a capacity error.
         self.capacity_errors: dict[OfferKey, float] = {}
 
     def is_available(self, offer: MachineOffer, now: float) -> bool:
-        """Whether the cloud has not lately returned a capacity error for the kind."""
+        """Whether the cloud has returned no capacity error for this kind recently."""
         return self.capacity_errors.get(offer.key, -1e9) < now
 
     def has_capacity_errors(self, now: float) -> bool:
-        """Whether the cloud has lately provisioned less than was requested."""
+        """Whether the cloud has recently provisioned less than was requested."""
         return any(until > now for until in self.capacity_errors.values())
 
     async def repeat_unanswered(self) -> None:
-        """Repeat requests without an answer under their own names; raises CloudError."""
+        """Repeat requests without a response, under their original names; raises CloudError."""
         await self._all_of([self._provision(entry) for entry in self.unanswered])
 
     async def provision(self, machines: list[tuple[MachineOffer, int]]) -> None:
-        """Request so many machines of each kind; raises CloudError."""
+        """Request the given number of machines of each kind; raises CloudError."""
         requests = []
         for offer, count in machines:
             for part in range(0, count, constants.PROVISION_MAX):
                 self._number += 1
-                # The term makes the name unique for good, whoever leads later.
+                # The term keeps the name unique across leaders.
                 name = f"r-{self._cluster.term}-{self._number}"
                 size = min(count - part, constants.PROVISION_MAX)
                 requests.append(self._provision(NamedProvision(name, offer, size)))
@@ -77,8 +77,8 @@
 
     @staticmethod
     async def _all_of(requests: list[Coroutine[Any, Any, None]]) -> None:
-        """All at the same time: hundreds of machines can be needed at once. An error is raised
-        when all requests have ended."""
+        """Run all requests concurrently, since hundreds of machines can be needed at once. Raises
+        the first error, after all requests have ended."""
         for result in await asyncio.gather(*requests, return_exceptions=True):
             if isinstance(result, BaseException):
                 raise result
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""The policy of scale-in: which machines are deleted, and why."""
+"""The scale-in policy: which machines are deleted, and why."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class CapacityShortage(Struct, frozen=True):
-    """What the cloud does not provide."""
+    """The demand that the cloud does not meet at present."""
 
-    starving: list[JobSpec]  # jobs that have waited long for machines
-    has_capacity_errors: bool  # the cloud lately provisioned less than was requested
+    starving: list[JobSpec]  # jobs that have long waited for machines
+    has_capacity_errors: bool  # the cloud recently provisioned less than was requested
 
 
 class ScaleInPolicy:
-    """Decides which machines are deleted: silent, draining, reclaimed, late or idle ones.
+    """Selects the machines to delete: silent, draining, reclaimed, idle, or late to start.
 
-    `idle_hold_s`: seconds for which idle machines are kept; None for a choice by cost.
+    `idle_hold_s`: seconds for which idle machines are kept; None derives them from costs.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._last_made_capacity_at = -1e9
 
     def machines_to_delete(self, now: float, shortage: CapacityShortage) -> list[Machine]:
-        """Machines that are of no use any more, at most as many as one request may name."""
+        """Machines that are no longer useful, at most as many as one deletion request may name."""
         self._health.note_tick(now)
         self._startup_times.update()
         live_share = self._health.live_share(now)
@@ -66,12 +66,12 @@
                 chosen.append(machine)
         for machine in self.idle_for_starving_jobs(now, shortage):
             log.info(
-                "machine %s is to be deleted: it is idle, and the cloud has no capacity for a "
-                "starving job that cannot use it",
+                "machine %s is to be deleted: it is idle, no starving job can use it, and the "
+                "cloud has no capacity for such a job",
                 machine.name,
             )
             chosen.append(machine)
-        chosen.sort(key=lambda m: not m.attempts)  # first those whose tasks wait for it
+        chosen.sort(key=lambda m: not m.attempts)  # first those with tasks: deletion frees them
         return chosen[: constants.DELETE_MAX]
 
     def _reason(
@@ -81,7 +81,7 @@
         live_share: float,
         heard_elsewhere: Callable[[Machine], bool],
     ) -> str:
-        """Why the machine is to be deleted; empty if it is not."""
+        """Why the machine is to be deleted; empty if it is to be kept."""
         phase = machine.phase
         if phase is MachinePhase.DELETING:
             return "its deletion is repeated"
@@ -94,7 +94,7 @@
             reason = self._reason_silent(machine, now, live_share, heard_elsewhere)
             if reason:
                 return reason
-        # One that is not confirmed takes no work yet: it is not idle.
+        # An unconfirmed machine does not count as idle, since it cannot take work yet.
         if (
             phase is MachinePhase.UP
             and machine.confirmed
@@ -121,7 +121,7 @@
             machine.reclaimed_at is not None
             and now > machine.reclaimed_at + constants.RECLAIM_MARGIN_S
         ):
-            # The answer to the deletion frees its tasks before their lease does.
+            # The response to the deletion releases its tasks before their lease expires.
             return "the cloud has reclaimed it by now"
         return ""
 
@@ -132,7 +132,7 @@
         live_share: float,
         heard_elsewhere: Callable[[Machine], bool],
     ) -> str:
-        """Silent, without acknowledgement, or known from a single heartbeat."""
+        """Why a machine that is up counts as lost; empty if it does not."""
         lost_s = self._health.lost_after_s()
         silent_s = self._health.silence_s(machine, now)
         is_certain = live_share >= constants.CERTAIN_LIVE_SHARE
@@ -140,15 +140,16 @@
             return f"no heartbeat for {silent_s:.0f} s"
         since = machine.unacknowledged_since
         if since is not None and now - since > lost_s:
-            return f"it has acknowledged no answer for {now - since:.0f} s"
+            return f"it has acknowledged no response for {now - since:.0f} s"
         is_unconfirmed = machine.phase is MachinePhase.UP and not machine.confirmed
         if is_unconfirmed and now - machine.registered_at > 2 * lost_s:
-            # Perhaps a late copy of a heartbeat from a machine that is long gone.
-            return "one heartbeat only, and none since that acknowledges an answer"
+            # The heartbeat may be a late copy from a machine that no longer exists.
+            return "it sent one heartbeat, and none since that acknowledges a response"
         return ""
 
     def _unreachable(self, machine: Machine, now: float) -> bool:
-        """A machine with replicas, which are missed at once: silent, and it answers no probe."""
+        """Whether a machine is silent and fails its liveness probes. Only machines with replicas
+        are deleted this early, since missing replicas are noticed at once."""
         return (
             machine.failed_probes >= constants.PROBE_TRIES
             and machine.replicas > 0
@@ -158,9 +159,9 @@
         )
 
     def idle_for_starving_jobs(self, now: float, shortage: CapacityShortage) -> list[Machine]:
-        """A few long idle machines of no use to a starving job, if the cloud has no capacity for
-        that job: it may have provisioned all that it has. Seldom, since clouds mostly limit each
-        type and zone by itself."""
+        """A few long-idle machines that no starving job can use, if the cloud has returned capacity
+        errors: deleting them may free capacity for machines that the job can use. Done rarely,
+        since most clouds limit each type and zone separately."""
         gap_s = now - self._last_made_capacity_at
         if (
             not shortage.starving
@@ -191,7 +192,7 @@
         )
 
     def _hold_s(self, machine: Machine, now: float) -> float:
-        """Seconds for which an idle machine is kept: until provisioning it anew costs less."""
+        """Seconds for which an idle machine is kept: until a new one later would cost less."""
         if self._idle_hold_s is not None:
             return self._idle_hold_s
         machine_type = self._cluster.types.get(machine.type)
@@ -200,11 +201,11 @@
         startup_s = machine_type.startup_s
         is_quiet = now - self._cluster.last_submission_at > startup_s
         if self._has_guarantees and not (is_quiet and self._no_work()):
-            # Teams with guarantees are not to wait: capacity is held ready for them.
+            # Teams with a quota guarantee must not wait, so capacity is kept for them.
             return constants.QUOTA_IDLE_HOLD_S
         if is_quiet:
-            return constants.QUIET_HOLD_S  # nothing arrives that it could be held for
-        # In place of a spot machine there may be only an ordinary one to provision.
+            return constants.QUIET_HOLD_S  # no jobs arrive that could use it
+        # A deleted spot machine may only be replaceable by a dearer on-demand machine.
         price_ratio = (
             machine_type.price / machine_type.spot_price
             if machine.spot and machine_type.spot_price
--- a/peathall/autoscaling/scale_in_loop.py
+++ b/peathall/autoscaling/scale_in_loop.py
@@ -1,4 +1,4 @@
-"""Scale-in: deletes the machines that are of no use any more."""
+"""Scale-in: deletes the machines that are no longer useful."""
 
 from __future__ import annotations
 
@@ -32,26 +32,28 @@
         self._actions = actions
         self._shortage = shortage
         self._on_change = on_change
-        # Stopped without a request of ours; deleting them takes them off the cloud's list.
+        # Machines that stopped without a deletion request; deleting them removes them from the
+        # cloud's list.
         self.failed: list[str] = []
 
     def note_failed(self, name: str) -> None:
-        """The cloud lists the machine as failed."""
+        """Delete a machine that the cloud lists as failed with the next batch."""
         self.failed.append(name)
 
     def machines_to_delete(self, now: float) -> list[Machine]:
-        """The machines that are of no use any more, at most as many as a request may name."""
+        """Machines that are no longer useful, at most as many as one deletion request may name."""
         return self._policy.machines_to_delete(now, self._shortage(now))
 
     async def step(self) -> None:
-        """Delete all such machines; raises CloudError."""
+        """Delete all machines that are no longer useful, or failed; raises CloudError."""
         while await self._delete_batch() == constants.DELETE_MAX:
-            pass  # there are more than one request may name
+            pass  # a full batch: there may be more to delete
 
     async def _delete_batch(self) -> int:
         now = self._loop.time()
         chosen = self.machines_to_delete(now)
-        # The cloud would refuse a request with more names than the protocol allows every time.
+        # The cloud rejects a request with more names than the protocol allows, and would reject
+        # each retry.
         spare = constants.DELETE_MAX - len(chosen)
         failed, self.failed = self.failed[:spare], self.failed[spare:]
         if not chosen and not failed:
@@ -63,10 +65,10 @@
         except CloudError:
             self.failed += failed
             raise
-        # The answer proves that the machines and everything on them are gone.
+        # The response proves that the machines and everything on them are gone.
         now = self._loop.time()
         for machine in chosen:
-            # Unless the list has shown it as failed meanwhile: then it is removed already.
+            # The machine is already removed if it was listed as failed during the request.
             if self._cluster.machines.get(machine.name) is machine:
                 self._workers.machine_gone(machine, now, "deleted")
         self._on_change()
--- a/peathall/autoscaling/scale_out.py
+++ b/peathall/autoscaling/scale_out.py
@@ -1,4 +1,4 @@
-"""Planning of scale-out: which machines to provision for tasks without a place. Pure functions."""
+"""Scale-out planning: which machines to provision for unplaced tasks. Pure functions."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class MachineOffer(Struct, frozen=True):
-    """A kind of machine that can be provisioned: a type, in a zone, spot or ordinary."""
+    """A kind of machine that can be provisioned: a type, in a zone, spot or on-demand."""
 
     type: MachineType
     zone: str
@@ -31,17 +31,17 @@
 
     @property
     def price(self) -> float:
-        """Present price of an hour."""
+        """Present price per hour."""
         return self.type.spot_price if self.spot else self.type.price
 
     @property
     def key(self) -> OfferKey:
-        """Identifies the kind; a MachineOffer itself is not hashable."""
+        """Hashable identity of the kind; MachineOffer itself is not hashable."""
         return OfferKey(self.type.name, self.zone, self.spot)
 
 
 class Bin:
-    """A machine as bin packing sees it: its kind, and the capacity that is free on it."""
+    """A machine in bin packing: its kind, and its free capacity."""
 
     __slots__ = ("free", "offer")
 
@@ -50,14 +50,14 @@
         self.free = free or [offer.type.cpus, offer.type.gpus, offer.type.ram]
 
     def put(self, spec: JobSpec, count: int) -> None:
-        """Take the capacity for so many tasks of the job."""
+        """Subtract the capacity for `count` tasks of the job."""
         self.free[0] -= spec.cpus * count
         self.free[1] -= spec.gpus * count
         self.free[2] -= spec.ram * count
 
 
 def suits(offer: MachineOffer, spec: JobSpec) -> bool:
-    """Whether a task of the job may run on an empty machine of this kind, and fits."""
+    """Whether a task of the job is allowed on this kind of machine, and fits on an empty one."""
     machine_type = offer.type
     return (
         (spec.types is None or machine_type.name in spec.types)
@@ -76,14 +76,14 @@
 
 
 def all_offers(types: list[MachineType]) -> list[MachineOffer]:
-    """Every kind of machine that the cloud may have."""
+    """Every kind of machine that the cloud offers, whether or not it has capacity."""
     return [
         MachineOffer(t, zone, spot) for t in types for zone in t.zones for spot in (True, False)
     ]
 
 
 def price_per_task(offer: MachineOffer, spec: JobSpec, count: int) -> float:
-    """Price of an hour for each task placed on a new machine, if `count` tasks wait."""
+    """Price per hour and task on a new machine, if `count` tasks wait."""
     fit = fits_in([offer.type.cpus, offer.type.gpus, offer.type.ram], spec)
     return offer.price / max(1, min(fit, count))
 
@@ -94,13 +94,13 @@
     free: list[Bin],
     offers: list[MachineOffer],
 ) -> list[tuple[MachineOffer, int]]:
-    """The machines to provision, by kind, for tasks that fit neither now nor into `starting`.
+    """The machines to provision, by kind, for unplaced tasks that do not fit into `starting`.
 
-    `unplaced` are jobs with the number of their tasks that have no place, the most important job
-    first. `starting` is capacity on machines that are about to be up; `free` what the placement
-    round left on those that are up. The latter counts for the choice of a zone only: by the time
-    that new machines are up, other tasks have taken it. `offers` leaves out the kinds for which
-    the cloud has just returned a capacity error.
+    `unplaced`: jobs with their number of unplaced tasks, the most important job first.
+    `starting`: capacity of machines that will soon be up.
+    `free`: capacity that the placement round left on machines that are up. It only influences the
+    choice of a zone: by the time that new machines are up, other tasks will have taken it.
+    `offers`: the kinds of machine for which the cloud has returned no recent capacity error.
     """
     bins = list(starting)
     needed: dict[OfferKey, int] = {}
@@ -125,7 +125,7 @@
 
 
 def _fill_bins(spec: JobSpec, count: int, zones: dict[str, int], bins: list[Bin]) -> int:
-    """Put up to `count` tasks into the bins and count them in `zones`; returns how many."""
+    """Put up to `count` tasks into the bins and add them to `zones`; returns their number."""
     placed = 0
     for item in bins:
         allowed = zone_allowance(spec, zones, item.offer.zone)
@@ -140,7 +140,8 @@
 def _new_machines(
     spec: JobSpec, count: int, zones: dict[str, int], offers: list[MachineOffer]
 ) -> list[Bin]:
-    """The cheapest new machines for `count` tasks, as far as the kinds and zones allow."""
+    """The cheapest new machines for `count` tasks, or for as many as `offers` and the spread over
+    zones allow."""
     machines = []
     while count > 0:
         allowed = [o for o in offers if zone_allowance(spec, zones, o.zone) > 0]
@@ -157,16 +158,16 @@
 
 
 def zone_allowance(spec: JobSpec, zones: dict[str, int], zone: str) -> int:
-    """How many more tasks of the job may go into the zone; `zones` counts those in each."""
+    """How many more tasks of the job may go into the zone; `zones` maps zones to their tasks."""
     if not spec.spread:
         return spec.tasks
     return (spec.tasks + 1) // 2 - zones.get(zone, 0)
 
 
 def best_zone(spec: JobSpec, count: int, bins: list[Bin], offers: list[MachineOffer]) -> str | None:
-    """The zone for all tasks of a job: where most of them fit already, among the zones where all
-    of them will. In a zone with too little capacity and no machines to provision they would wait
-    in vain."""
+    """The zone for all tasks of a job: preferably one where all of them fit once machines are
+    provisioned there, and among those the one where most fit already. In a zone with too little
+    capacity and no machines to provision, the job would wait for ever."""
     zones = list(dict.fromkeys([b.offer.zone for b in bins] + [o.zone for o in offers]))
     if len(zones) < 2:
         return next(iter(zones), None)
--- a/peathall/autoscaling/scale_out_loop.py
+++ b/peathall/autoscaling/scale_out_loop.py
@@ -17,7 +17,7 @@
 
 
 class ScaleOutLoop:
-    """The demand that the latest placement round left, and the steps that meet it."""
+    """Keeps the demand that the latest placement round left, and provisions machines for it."""
 
     def __init__(
         self,
@@ -32,22 +32,22 @@
         self._startup_times = startup_times
         self._provisioner = provisioner
         self._plan_requested = asyncio.Event()
-        self._unplaced: list[tuple[JobView, int]] = []  # jobs, and how many tasks have no place
-        self._free_capacity: dict[str, list[float]] = {}  # by machine, after the latest round
+        self._unplaced: list[tuple[JobView, int]] = []  # jobs with their number of unplaced tasks
+        self._free_capacity: dict[str, list[float]] = {}  # by machine name, after that round
 
     def note_unplaced(self, plan: Plan) -> None:
-        """Take in what a placement round found no capacity for, and what it left free."""
+        """Store the tasks that a placement round could not place, and the capacity it left free."""
         self._unplaced, self._free_capacity = plan.unplaced, plan.free_capacity
         if self._unplaced:
             self._plan_requested.set()
 
     def shortage(self, now: float) -> CapacityShortage:
-        """The jobs that have waited long, and whether the cloud has lately refused machines."""
+        """The starving jobs, and whether the cloud has recently returned capacity errors."""
         starving = [job.spec for job, _ in self._unplaced if job.is_starving]
         return CapacityShortage(starving, self._provisioner.has_capacity_errors(now))
 
     async def wait(self) -> None:
-        """Until a round has left tasks without a place, but no longer than a tick."""
+        """Wait until a placement round has left unplaced tasks, but no longer than a tick."""
         try:
             await asyncio.wait_for(self._plan_requested.wait(), constants.TICK_S)
         except TimeoutError:
@@ -57,8 +57,8 @@
     async def step(self, list_is_known: bool) -> None:
         """Repeat unanswered requests, then plan and provision; raises CloudError.
 
-        Nothing new is provisioned before the cloud's list was read in this term: machines that
-        an earlier leader provisioned may be about to be up.
+        Nothing new is provisioned until the cloud's list has been read in this term: machines
+        that an earlier leader provisioned may still be starting up.
         """
         await self._provisioner.repeat_unanswered()
         if not list_is_known or not self._unplaced:
@@ -69,11 +69,11 @@
         offers = [o for o in all_offers(types) if self._provisioner.is_available(o, now)]
         machines = plan_scale_out(self._unplaced, starting, free, offers)
         await self._provisioner.provision(machines)
-        # Machines take long to start up: planning after every round would gain nothing.
+        # Machines take long to start up, so planning after every round would gain nothing.
         await asyncio.sleep(constants.SCALE_OUT_GAP_S)
 
     def _bins(self, now: float) -> tuple[list[Bin], list[Bin]]:
-        """The capacity of machines that are about to be up, and what is free on those in use."""
+        """The free capacity of machines that will soon be up, and of those already in use."""
         starting, free = [], []
         for machine in self._cluster.machines.values():
             offer = offer_of(machine, self._cluster.types)
@@ -85,13 +85,13 @@
         return starting, free
 
     def is_expected(self, machine: Machine, now: float) -> bool:
-        """Whether the machine takes no work yet, but should soon."""
+        """Whether the machine cannot take work yet, but should soon."""
         if machine.phase is MachinePhase.STARTING:
             limit_s = constants.STARTUP_LATE * self._startup_times.nominal_s(machine)
             late = now - machine.created_at > limit_s
             return not (late and self._startup_times.later_one_started(machine))
         if not machine.listed_by_cloud:
-            return False  # perhaps known from a late heartbeat or a record, and long gone
+            return False  # known only from a record or a late heartbeat, so it may be gone
         if machine.phase is MachinePhase.RECOVERED:
             silent_s = self._health.seconds_since_heartbeat(machine, now)
             return silent_s < self._health.unschedulable_after_s()
--- a/peathall/autoscaling/startup_times.py
+++ b/peathall/autoscaling/startup_times.py
@@ -1,4 +1,4 @@
-"""How long machines take to start up, compared with others of their type."""
+"""Startup delays of machines, compared with other machines of their type."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class StartupTimes:
-    """Tells a machine that is itself late to start up from a cloud that is late with all."""
+    """Distinguishes a single machine that is late to start up from a cloud that delays all."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
-        # Machine type -> when the latest provisioned of its machines that are up was provisioned.
+        # Machine type -> when the most recently provisioned machine that is up was provisioned.
         self._latest_started: dict[str, float] = {}
 
     def nominal_s(self, machine: Machine) -> float:
@@ -23,14 +23,14 @@
         )
 
     def later_one_started(self, machine: Machine) -> bool:
-        """Whether a machine of this type that was provisioned no sooner has started up. Then the
-        delay is this machine's own; if not, the cloud is late with all of them, and a machine
-        provisioned in its place would be as late."""
+        """Whether a machine of the same type that was provisioned at the same time or later is up.
+        If so, only this machine is late; if not, the cloud delays all of them, and a replacement
+        would be delayed as well."""
         latest = self._latest_started.get(machine.type, -1e9)
         return machine.created_at <= latest + constants.SAME_AGE_S
 
     def update(self) -> None:
-        """Take in which machines have started up."""
+        """Record which machines have started up."""
         for machine in self._cluster.machines.values():
             if machine.phase is MachinePhase.UP and machine.listed_by_cloud:
                 latest = self._latest_started.get(machine.type, -1e9)
--- a/peathall/autoscaling/usage.py
+++ b/peathall/autoscaling/usage.py
@@ -1,4 +1,4 @@
-"""Usage accounting: the cost of the machines by what they were doing, for the log."""
+"""Usage accounting: the cost of the machines by activity, for the log."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def share_in_use(machine: Machine) -> dict[str, float]:
-    """Shares of the machine by activity, measured by its scarcest resource."""
+    """Shares of the machine by activity, measured in its GPUs if it has any, else in its CPUs."""
     if machine.phase in (MachinePhase.STARTING, MachinePhase.RECOVERED):
         return {"startup": 1.0}
     shares: defaultdict[str, float] = defaultdict(float)
@@ -34,20 +34,20 @@
 
 
 def activity(phase: AttemptPhase) -> str:
-    """What a machine's time is spent on while an attempt is in this phase."""
+    """The activity under which the cost of an attempt in this phase is counted."""
     if phase in (AttemptPhase.PLANNED, AttemptPhase.INTENDED, AttemptPhase.SENT):
         return "starting"
     return phase.name.lower()
 
 
 class UsageAccounting:
-    """Cost since the last log line, by activity."""
+    """Sums up the cost since the last log line, by activity."""
 
     def __init__(self) -> None:
         self._cost: dict[str, float] = {}
 
     def add(self, machines: list[Machine], types: dict[str, MachineType], seconds: float) -> None:
-        """Count what the machines have been doing for so many seconds."""
+        """Add the cost of the machines for so many seconds of their present activities."""
         for machine in machines:
             machine_type = types.get(machine.type)
             if machine_type is None:
@@ -58,7 +58,7 @@
                 self._cost[name] = self._cost.get(name, 0.0) + share * cost
 
     def flush(self) -> str:
-        """The cost since the last call, by activity, as text."""
+        """Return the cost since the last call, by activity, as text."""
         total = sum(self._cost.values())
         costs = sorted(self._cost.items(), key=lambda x: -x[1])
         self._cost = {}
@@ -66,7 +66,7 @@
 
 
 class UsageLog:
-    """Samples what all machines are doing, and logs the sums from time to time."""
+    """Samples the activities of all machines, and logs their cost at intervals."""
 
     def __init__(self, cluster: ClusterState) -> None:
         self._cluster = cluster
@@ -74,7 +74,7 @@
         self._sampled_at = self._logged_at = asyncio.get_running_loop().time()
 
     def sample(self, now: float) -> None:
-        """Take a sample if one is due, and log if that is due as well."""
+        """Take a sample, and write the log line, if they are due."""
         if now - self._sampled_at < constants.USAGE_SAMPLE_S:
             return
         machines = list(self._cluster.machines.values())
