--- a/peathall/autoscaling/machine_list.py
+++ b/peathall/autoscaling/machine_list.py
@@ -38,19 +38,19 @@
         self._settings = settings
         self._workers = workers
         self._on_failed = on_failed  # called with the name of a machine that is listed as failed
-        self._read_at = -1e9
-        self._gap_s = constants.LIST_S
+        self._last_read_at = -1e9
+        self._interval_s = constants.LIST_S
         self.is_known = False  # read at least once in this term
 
     def is_due(self, now: float) -> bool:
         """Whether the list is to be read again."""
-        return now - self._read_at > self._gap_s
+        return now - self._last_read_at > self._interval_s
 
     async def refresh(self, now: float) -> None:
         """Read the whole list and reconcile the cluster's machines with it; raises CloudError."""
-        self._read_at = now
+        self._last_read_at = now
         listed = await self._cloud.machines()
-        self._gap_s = list_gap_s(len(listed), self._settings.rps)
+        self._interval_s = list_gap_s(len(listed), self._settings.rps)
         self.reconcile(listed, self._loop.time())
 
     def reconcile(self, listed: list[ListedMachine], now: float) -> None:
--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -46,9 +46,11 @@
         self._loop = asyncio.get_running_loop()
         self._rate_limit = TokenBucket(settings.rps * share * 0.9, settings.rps * share)
 
-    async def _ask(self, method: str, path: str, value: Any = None, keep: float = 0.0) -> Any:
-        """Return the decoded response; the share `keep` of the burst is left to other requests."""
-        while (pause := self._rate_limit.try_acquire(1, self._loop.time(), keep)) > 0:
+    async def _request(
+        self, method: str, path: str, value: Any = None, burst_reserve: float = 0.0
+    ) -> Any:
+        """Return the decoded response; `burst_reserve`: share of the burst left to others."""
+        while (pause := self._rate_limit.try_acquire(1, self._loop.time(), burst_reserve)) > 0:
             await asyncio.sleep(pause)
         data = b"" if value is None else codec.cbor_bytes(value)
         try:
@@ -67,7 +69,7 @@
 
     async def types(self) -> list[MachineType]:
         """Read all machine types, with their present prices."""
-        return decode_machine_types(await self._ask("GET", MACHINE_TYPES_PATH))
+        return decode_machine_types(await self._request("GET", MACHINE_TYPES_PATH))
 
     async def machines(self) -> list[ListedMachine]:
         """Read the whole machine list, page by page."""
@@ -77,7 +79,9 @@
             path = machine_page_path(constants.LIST_PAGE, after)
             # The first page leaves no part of the burst: otherwise the list would never be read
             # while many other requests are waiting.
-            raw = await self._ask("GET", path, keep=constants.LIST_KEEP if after else 0.0)
+            raw = await self._request(
+                "GET", path, burst_reserve=constants.LIST_KEEP if after else 0.0
+            )
             page = decode_machine_page(raw)
             found += page.machines
             if not page.more or not page.machines:
@@ -89,8 +93,8 @@
         body = encode_provision_request(
             request.request, request.type, request.zone, request.spot, request.count
         )
-        return decode_provisioned_machines(await self._ask("POST", MACHINES_PATH, body))
+        return decode_provisioned_machines(await self._request("POST", MACHINES_PATH, body))
 
     async def delete(self, machines: list[str], /) -> None:
         """Delete machines; once this returns, they and everything on them are gone."""
-        await self._ask("POST", DELETE_MACHINES_PATH, encode_deletion(machines))
+        await self._request("POST", DELETE_MACHINES_PATH, encode_deletion(machines))
--- a/peathall/autoscaling/provisioner.py
+++ b/peathall/autoscaling/provisioner.py
@@ -23,7 +23,7 @@
 log = logging.getLogger("peathall.autoscaling")
 
 
-class NamedProvision(Struct, frozen=True):
+class PendingProvision(Struct, frozen=True):
     """A provision request for `count` machines of one kind; its name is never reused."""
 
     name: str
@@ -46,8 +46,8 @@
         self._cluster = cluster
         self._actions = actions
         self._is_active = is_active
-        self._number = 0  # of the latest request of this term
-        self.unanswered: list[NamedProvision] = []  # sent, and perhaps executed
+        self._last_number = 0  # of the latest request of this term
+        self.unanswered: list[PendingProvision] = []  # sent, and perhaps executed
         # Machine kind -> time until which it is not requested again after a capacity error.
         self.capacity_errors: dict[OfferKey, float] = {}
 
@@ -61,42 +61,42 @@
 
     async def repeat_unanswered(self) -> None:
         """Repeat requests without a response, under their original names; raises CloudError."""
-        await self._all_of([self._provision(entry) for entry in self.unanswered])
+        await self._run_all([self._provision(entry) for entry in self.unanswered])
 
     async def provision(self, machines: list[tuple[MachineOffer, int]]) -> None:
         """Request the given number of machines of each kind; raises CloudError."""
         requests = []
         for offer, count in machines:
             for part in range(0, count, constants.PROVISION_MAX):
-                self._number += 1
+                self._last_number += 1
                 # The term keeps the name unique across leaders.
-                name = f"r-{self._cluster.term}-{self._number}"
+                name = f"r-{self._cluster.term}-{self._last_number}"
                 size = min(count - part, constants.PROVISION_MAX)
-                requests.append(self._provision(NamedProvision(name, offer, size)))
-        await self._all_of(requests)
+                requests.append(self._provision(PendingProvision(name, offer, size)))
+        await self._run_all(requests)
 
     @staticmethod
-    async def _all_of(requests: list[Coroutine[Any, Any, None]]) -> None:
+    async def _run_all(requests: list[Coroutine[Any, Any, None]]) -> None:
         """Run all requests concurrently, since hundreds of machines can be needed at once. Raises
         the first error, after all requests have ended."""
         for result in await asyncio.gather(*requests, return_exceptions=True):
             if isinstance(result, BaseException):
                 raise result
 
-    async def _provision(self, entry: NamedProvision) -> None:
+    async def _provision(self, entry: PendingProvision) -> None:
         if not self._is_active():
             return
         try:
             names = await self._actions.provision(entry.request())
         except NoCapacityError:
-            self._answered(entry)
+            self._remove_unanswered(entry)
             self._note_capacity_error(entry.offer)
             return
         except CloudError as exc:
             if exc.sent and entry not in self.unanswered:
                 self.unanswered.append(entry)
             raise
-        self._answered(entry)
+        self._remove_unanswered(entry)
         if len(names) < entry.count:
             self._note_capacity_error(entry.offer)
         log.info(
@@ -110,7 +110,7 @@
         )
         self._add_machines(names, entry.offer)
 
-    def _answered(self, entry: NamedProvision) -> None:
+    def _remove_unanswered(self, entry: PendingProvision) -> None:
         if entry in self.unanswered:
             self.unanswered.remove(entry)
 
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -46,7 +46,7 @@
         self._startup_times = startup_times
         self._idle_hold_s = idle_hold_s
         self._has_guarantees = any(team.cpus or team.gpus for team in params.teams)
-        self._last_made_capacity_at = -1e9
+        self._last_freed_capacity_at = -1e9
 
     def machines_to_delete(self, now: float, shortage: CapacityShortage) -> list[Machine]:
         """Machines that are no longer useful, at most as many as one deletion request may name."""
@@ -57,7 +57,7 @@
         chosen = []
         for machine in self._cluster.machines.values():
             reason = self._reason(machine, now, live_share, heard_elsewhere)
-            if not reason and self._unreachable(machine, now) and not heard_elsewhere(machine):
+            if not reason and self._is_unreachable(machine, now) and not heard_elsewhere(machine):
                 silent_s = self._health.silence_s(machine, now)
                 reason = f"no heartbeat for {silent_s:.0f} s, and it answers no liveness probe"
             if reason:
@@ -89,8 +89,8 @@
             return self._reason_starting(machine, now)
         if phase is MachinePhase.DRAINING:
             return self._reason_draining(machine, now)
-        is_judged = live_share >= constants.MIN_LIVE_SHARE
-        if phase in (MachinePhase.UP, MachinePhase.RECOVERED) and is_judged:
+        enough_live = live_share >= constants.MIN_LIVE_SHARE
+        if phase in (MachinePhase.UP, MachinePhase.RECOVERED) and enough_live:
             reason = self._reason_silent(machine, now, live_share, heard_elsewhere)
             if reason:
                 return reason
@@ -105,7 +105,7 @@
         return ""
 
     def _reason_starting(self, machine: Machine, now: float) -> str:
-        is_late_alone = self._startup_times.later_one_started(machine)
+        is_late_alone = self._startup_times.later_machine_is_up(machine)
         factor = constants.STARTUP_PATIENCE if is_late_alone else constants.STARTUP_PATIENCE_ALL
         limit_s = max(
             constants.STARTUP_PATIENCE_MIN_S, factor * self._startup_times.nominal_s(machine)
@@ -147,7 +147,7 @@
             return "it sent one heartbeat, and none since that acknowledges a response"
         return ""
 
-    def _unreachable(self, machine: Machine, now: float) -> bool:
+    def _is_unreachable(self, machine: Machine, now: float) -> bool:
         """Whether a machine is silent and fails its liveness probes. Only machines with replicas
         are deleted this early, since missing replicas are noticed at once."""
         return (
@@ -162,7 +162,7 @@
         """A few long-idle machines that no starving job can use, if the cloud has returned capacity
         errors: deleting them may free capacity for machines that the job can use. Done rarely,
         since most clouds limit each type and zone separately."""
-        gap_s = now - self._last_made_capacity_at
+        gap_s = now - self._last_freed_capacity_at
         if (
             not shortage.starving
             or not shortage.has_capacity_errors
@@ -182,10 +182,10 @@
             if offer and not any(suits(offer, spec) for spec in shortage.starving)
         ]
         if found:
-            self._last_made_capacity_at = now
+            self._last_freed_capacity_at = now
         return found[: constants.RETURNED_FOR_STARVING_JOB]
 
-    def _no_work(self) -> bool:
+    def _has_no_work(self) -> bool:
         return not any(
             job.phase is JobPhase.ACTIVE and (job.pending or not job.spec.daemon)
             for job in self._cluster.jobs.values()
@@ -200,7 +200,7 @@
             return constants.QUOTA_IDLE_HOLD_S
         startup_s = machine_type.startup_s
         is_quiet = now - self._cluster.last_submission_at > startup_s
-        if self._has_guarantees and not (is_quiet and self._no_work()):
+        if self._has_guarantees and not (is_quiet and self._has_no_work()):
             # Teams with a quota guarantee must not wait, so capacity is kept for them.
             return constants.QUOTA_IDLE_HOLD_S
         if is_quiet:
--- a/peathall/autoscaling/scale_out_loop.py
+++ b/peathall/autoscaling/scale_out_loop.py
@@ -89,7 +89,7 @@
         if machine.phase is MachinePhase.STARTING:
             limit_s = constants.STARTUP_LATE * self._startup_times.nominal_s(machine)
             late = now - machine.created_at > limit_s
-            return not (late and self._startup_times.later_one_started(machine))
+            return not (late and self._startup_times.later_machine_is_up(machine))
         if not machine.listed_by_cloud:
             return False  # known only from a record or a late heartbeat, so it may be gone
         if machine.phase is MachinePhase.RECOVERED:
--- a/peathall/autoscaling/startup_times.py
+++ b/peathall/autoscaling/startup_times.py
@@ -22,7 +22,7 @@
             machine_type.startup_s if machine_type is not None else constants.STARTUP_PATIENCE_MIN_S
         )
 
-    def later_one_started(self, machine: Machine) -> bool:
+    def later_machine_is_up(self, machine: Machine) -> bool:
         """Whether a machine of the same type that was provisioned at the same time or later is up.
         If so, only this machine is late; if not, the cloud delays all of them, and a replacement
         would be delayed as well."""
--- a/peathall/autoscaling/usage.py
+++ b/peathall/autoscaling/usage.py
@@ -15,7 +15,7 @@
 log = logging.getLogger("peathall.autoscaling")
 
 
-def share_in_use(machine: Machine) -> dict[str, float]:
+def activity_shares(machine: Machine) -> dict[str, float]:
     """Shares of the machine by activity, measured in its GPUs if it has any, else in its CPUs."""
     if machine.phase in (MachinePhase.STARTING, MachinePhase.RECOVERED):
         return {"startup": 1.0}
@@ -54,7 +54,7 @@
                 continue
             price = machine_type.spot_price if machine.spot else machine_type.price
             cost = price * seconds / 3600.0
-            for name, share in share_in_use(machine).items():
+            for name, share in activity_shares(machine).items():
                 self._cost[name] = self._cost.get(name, 0.0) + share * cost
 
     def flush(self) -> str:
