--- a/peathall/autoscaling/machine_list.py
+++ b/peathall/autoscaling/machine_list.py
@@ -14,11 +14,13 @@
 from peathall.workers.workers import Workers
 
 
-def list_gap_s(machines: int, rps: float) -> float:
+def list_interval_s(machines: int, rps: float) -> float:
     """Seconds between reads of a list of `machines`, if the cloud allows `rps` requests a second:
     its pages leave most of the requests to provisioning and deletion."""
-    pages = 1 + machines // constants.LIST_PAGE
-    return max(constants.LIST_S, pages / (constants.LIST_SHARE * rps))
+    pages = 1 + machines // constants.MACHINE_LIST_PAGE_SIZE
+    return max(
+        constants.MACHINE_LIST_MIN_INTERVAL_S, pages / (constants.MACHINE_LIST_RPS_SHARE * rps)
+    )
 
 
 class MachineList:
@@ -39,7 +41,7 @@
         self._workers = workers
         self._on_failed = on_failed  # called with the name of a machine that is listed as failed
         self._last_read_at = -1e9
-        self._interval_s = constants.LIST_S
+        self._interval_s = constants.MACHINE_LIST_MIN_INTERVAL_S
         self.is_known = False  # read at least once in this term
 
     def is_due(self, now: float) -> bool:
@@ -50,7 +52,7 @@
         """Read the whole list and reconcile the cluster's machines with it; raises CloudError."""
         self._last_read_at = now
         listed = await self._cloud.machines()
-        self._interval_s = list_gap_s(len(listed), self._settings.rps)
+        self._interval_s = list_interval_s(len(listed), self._settings.rps)
         self.reconcile(listed, self._loop.time())
 
     def reconcile(self, listed: list[ListedMachine], now: float) -> None:
--- a/peathall/autoscaling/machine_types.py
+++ b/peathall/autoscaling/machine_types.py
@@ -13,7 +13,7 @@
 from peathall.protocol.state_service import Put
 from peathall.store.writer import Writer
 
-TYPES = "types"  # key of the stored copy
+MACHINE_TYPES_KEY = "types"  # key of the stored copy
 
 
 class MachineTypes:
@@ -38,7 +38,9 @@
 
     def is_due(self, now: float) -> bool:
         """Whether to read the types: none are known, or their prices may have changed."""
-        return not self._cluster.types or now - self._refreshed_at > constants.TYPES_S
+        return (
+            not self._cluster.types or now - self._refreshed_at > constants.MACHINE_TYPES_INTERVAL_S
+        )
 
     async def refresh(self, now: float) -> None:
         """Read the types from the cloud, and store them if they have changed."""
@@ -51,7 +53,7 @@
             # validate jobs and place them.
             value = encode_machine_types(types)
             if codec.json_size(value) < self._writer.value_limit:
-                self._writer.submit([Put(TYPES, value)])
+                self._writer.submit([Put(MACHINE_TYPES_KEY, value)])
         if not known:
             self._on_first_known()
 
--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -47,10 +47,10 @@
         self._rate_limit = TokenBucket(settings.rps * share * 0.9, settings.rps * share)
 
     async def _request(
-        self, method: str, path: str, value: Any = None, burst_reserve: float = 0.0
+        self, method: str, path: str, value: Any = None, reserve_share: float = 0.0
     ) -> Any:
-        """Return the decoded response; `burst_reserve`: share of the burst left to others."""
-        while (pause := self._rate_limit.try_acquire(1, self._loop.time(), burst_reserve)) > 0:
+        """Return the decoded response; `reserve_share`: share of the burst left to others."""
+        while (pause := self._rate_limit.try_acquire(1, self._loop.time(), reserve_share)) > 0:
             await asyncio.sleep(pause)
         data = b"" if value is None else codec.cbor_bytes(value)
         try:
@@ -76,11 +76,11 @@
         found: list[ListedMachine] = []
         after = ""
         while True:
-            path = machine_page_path(constants.LIST_PAGE, after)
+            path = machine_page_path(constants.MACHINE_LIST_PAGE_SIZE, after)
             # The first page leaves no part of the burst: otherwise the list would never be read
             # while many other requests are waiting.
             raw = await self._request(
-                "GET", path, burst_reserve=constants.LIST_KEEP if after else 0.0
+                "GET", path, reserve_share=constants.MACHINE_LIST_BURST_RESERVE if after else 0.0
             )
             page = decode_machine_page(raw)
             found += page.machines
--- a/peathall/autoscaling/provisioner.py
+++ b/peathall/autoscaling/provisioner.py
@@ -67,11 +67,11 @@
         """Request the given number of machines of each kind; raises CloudError."""
         requests = []
         for offer, count in machines:
-            for part in range(0, count, constants.PROVISION_MAX):
+            for part in range(0, count, constants.MAX_PROVISION_COUNT):
                 self._last_number += 1
                 # The term keeps the name unique across leaders.
                 name = f"r-{self._cluster.term}-{self._last_number}"
-                size = min(count - part, constants.PROVISION_MAX)
+                size = min(count - part, constants.MAX_PROVISION_COUNT)
                 requests.append(self._provision(PendingProvision(name, offer, size)))
         await self._run_all(requests)
 
@@ -115,7 +115,7 @@
             self.unanswered.remove(entry)
 
     def _note_capacity_error(self, offer: MachineOffer) -> None:
-        self.capacity_errors[offer.key] = self._loop.time() + constants.NO_CAPACITY_S
+        self.capacity_errors[offer.key] = self._loop.time() + constants.CAPACITY_ERROR_BACKOFF_S
 
     def _add_machines(self, names: list[str], offer: MachineOffer) -> None:
         now = self._loop.time()
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -72,7 +72,7 @@
             )
             chosen.append(machine)
         chosen.sort(key=lambda m: not m.attempts)  # first those with tasks: deletion frees them
-        return chosen[: constants.DELETE_MAX]
+        return chosen[: constants.MAX_DELETION_NAMES]
 
     def _reason(
         self,
@@ -106,9 +106,13 @@
 
     def _reason_starting(self, machine: Machine, now: float) -> str:
         is_late_alone = self._startup_times.later_machine_is_up(machine)
-        factor = constants.STARTUP_PATIENCE if is_late_alone else constants.STARTUP_PATIENCE_ALL
+        factor = (
+            constants.STARTUP_TIMEOUT_FACTOR
+            if is_late_alone
+            else constants.STARTUP_TIMEOUT_FACTOR_ALL_LATE
+        )
         limit_s = max(
-            constants.STARTUP_PATIENCE_MIN_S, factor * self._startup_times.nominal_s(machine)
+            constants.MIN_STARTUP_TIMEOUT_S, factor * self._startup_times.nominal_s(machine)
         )
         age_s = now - machine.created_at
         return f"it has not started up in {age_s:.0f} s" if age_s > limit_s else ""
@@ -166,7 +170,7 @@
         if (
             not shortage.starving
             or not shortage.has_capacity_errors
-            or gap_s < constants.RETURNED_FOR_STARVING_JOB_GAP_S
+            or gap_s < constants.DELETED_FOR_STARVING_JOB_INTERVAL_S
         ):
             return []
         idle = [
@@ -174,7 +178,7 @@
             for machine in self._cluster.machines.values()
             if machine.phase is MachinePhase.UP
             and not machine.attempts
-            and now - machine.idle_since > constants.RETURNED_FOR_STARVING_JOB_IDLE_S
+            and now - machine.idle_since > constants.DELETED_FOR_STARVING_JOB_IDLE_S
         ]
         found = [
             machine
@@ -183,7 +187,7 @@
         ]
         if found:
             self._last_freed_capacity_at = now
-        return found[: constants.RETURNED_FOR_STARVING_JOB]
+        return found[: constants.MAX_DELETED_FOR_STARVING_JOB]
 
     def _has_no_work(self) -> bool:
         return not any(
@@ -204,11 +208,11 @@
             # Teams with a quota guarantee must not wait, so capacity is kept for them.
             return constants.QUOTA_IDLE_HOLD_S
         if is_quiet:
-            return constants.QUIET_HOLD_S  # no jobs arrive that could use it
+            return constants.QUIET_IDLE_HOLD_S  # no jobs arrive that could use it
         # A deleted spot machine may only be replaceable by a dearer on-demand machine.
         price_ratio = (
             machine_type.price / machine_type.spot_price
             if machine.spot and machine_type.spot_price
             else 1.0
         )
-        return constants.IDLE_STARTUP_TIMES * startup_s * price_ratio
+        return constants.IDLE_HOLD_STARTUP_FACTOR * startup_s * price_ratio
--- a/peathall/autoscaling/scale_in_loop.py
+++ b/peathall/autoscaling/scale_in_loop.py
@@ -46,7 +46,7 @@
 
     async def step(self) -> None:
         """Delete all machines that are no longer useful, or failed; raises CloudError."""
-        while await self._delete_batch() == constants.DELETE_MAX:
+        while await self._delete_batch() == constants.MAX_DELETION_NAMES:
             pass  # a full batch: there may be more to delete
 
     async def _delete_batch(self) -> int:
@@ -54,7 +54,7 @@
         chosen = self.machines_to_delete(now)
         # The cloud rejects a request with more names than the protocol allows, and would reject
         # each retry.
-        spare = constants.DELETE_MAX - len(chosen)
+        spare = constants.MAX_DELETION_NAMES - len(chosen)
         failed, self.failed = self.failed[:spare], self.failed[spare:]
         if not chosen and not failed:
             return 0
--- a/peathall/autoscaling/scale_out_loop.py
+++ b/peathall/autoscaling/scale_out_loop.py
@@ -70,7 +70,7 @@
         machines = plan_scale_out(self._unplaced, starting, free, offers)
         await self._provisioner.provision(machines)
         # Machines take long to start up, so planning after every round would gain nothing.
-        await asyncio.sleep(constants.SCALE_OUT_GAP_S)
+        await asyncio.sleep(constants.SCALE_OUT_PAUSE_S)
 
     def _bins(self, now: float) -> tuple[list[Bin], list[Bin]]:
         """The free capacity of machines that will soon be up, and of those already in use."""
@@ -87,7 +87,7 @@
     def is_expected(self, machine: Machine, now: float) -> bool:
         """Whether the machine cannot take work yet, but should soon."""
         if machine.phase is MachinePhase.STARTING:
-            limit_s = constants.STARTUP_LATE * self._startup_times.nominal_s(machine)
+            limit_s = constants.STARTUP_LATE_FACTOR * self._startup_times.nominal_s(machine)
             late = now - machine.created_at > limit_s
             return not (late and self._startup_times.later_machine_is_up(machine))
         if not machine.listed_by_cloud:
--- a/peathall/autoscaling/startup_times.py
+++ b/peathall/autoscaling/startup_times.py
@@ -19,7 +19,7 @@
         """The nominal startup time of the machine's type, in seconds."""
         machine_type = self._cluster.types.get(machine.type)
         return (
-            machine_type.startup_s if machine_type is not None else constants.STARTUP_PATIENCE_MIN_S
+            machine_type.startup_s if machine_type is not None else constants.MIN_STARTUP_TIMEOUT_S
         )
 
     def later_machine_is_up(self, machine: Machine) -> bool:
--- a/peathall/autoscaling/usage.py
+++ b/peathall/autoscaling/usage.py
@@ -75,12 +75,12 @@
 
     def sample(self, now: float) -> None:
         """Take a sample, and write the log line, if they are due."""
-        if now - self._sampled_at < constants.USAGE_SAMPLE_S:
+        if now - self._sampled_at < constants.USAGE_SAMPLE_INTERVAL_S:
             return
         machines = list(self._cluster.machines.values())
         self._accounting.add(machines, self._cluster.types, now - self._sampled_at)
         self._sampled_at = now
-        if now - self._logged_at > constants.USAGE_LOG_S:
+        if now - self._logged_at > constants.USAGE_LOG_INTERVAL_S:
             self._logged_at = now
             self._log(machines)
 
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -148,41 +148,44 @@
 URGENT_S = 30.0  # with more time left to meet an objective, a job waits rather than preempts
 
 # --- autoscaling --------------------------------------------------------------------------------
-LIST_S = 3.0  # least time between reads of the machine list
-LIST_SHARE = 0.4  # of the cloud's request rate: the list of thousands of machines has many pages
-LIST_KEEP = 0.5  # of the cloud's burst; pages of the list leave it to scale-out and scale-in
-TYPES_S = 60.0  # between reads of machine types; prices move slowly
+MACHINE_LIST_MIN_INTERVAL_S = 3.0  # least time between reads of the machine list
+# Of the cloud's request rate: the list of thousands of machines has many pages.
+MACHINE_LIST_RPS_SHARE = 0.4
+# Of the cloud's burst: pages of the list leave it to scale-out and scale-in.
+MACHINE_LIST_BURST_RESERVE = 0.5
+MACHINE_TYPES_INTERVAL_S = 60.0  # between reads of machine types; prices move slowly
 CLOUD_TIMEOUT_S = 4.0  # responses of the cloud take some 100 ms
-PROVISION_MAX = 50  # machines in one provision request (protocol)
-DELETE_MAX = 100  # names in one deletion request (protocol)
-LIST_PAGE = 500  # machines in one page of the list (protocol)
-SCALE_OUT_GAP_S = 0.5  # pause after a scale-out plan
-NO_CAPACITY_S = 12.0  # after a capacity error, before the same kind of machine is requested again
+MAX_PROVISION_COUNT = 50  # machines in one provision request (protocol)
+MAX_DELETION_NAMES = 100  # names in one deletion request (protocol)
+MACHINE_LIST_PAGE_SIZE = 500  # machines in one page of the list (protocol)
+SCALE_OUT_PAUSE_S = 0.5  # pause after a scale-out plan
+# After a capacity error, before the same kind of machine is requested again.
+CAPACITY_ERROR_BACKOFF_S = 12.0
 # Times startup_s: a machine that is not up by then is deleted, if one of its type that was
 # provisioned at the same time or later is up.
-STARTUP_PATIENCE = 4.0
+STARTUP_TIMEOUT_FACTOR = 4.0
 # Times startup_s: the same limit if no such machine is up, since the cloud then delays all.
-STARTUP_PATIENCE_ALL = 8.0
+STARTUP_TIMEOUT_FACTOR_ALL_LATE = 8.0
 # Times startup_s: a replacement is provisioned for a machine that is not up by then. Others are up
 # after 1.5 times.
-STARTUP_LATE = 1.75
+STARTUP_LATE_FACTOR = 1.75
 SAME_AGE_S = 2.0  # machines provisioned within this time count as equally old
-STARTUP_PATIENCE_MIN_S = 60.0  # a deleted machine costs 60 s in any case
+MIN_STARTUP_TIMEOUT_S = 60.0  # a deleted machine costs 60 s in any case
 UNLISTED_LAGS = 8.0  # times list_lag_s: a silent machine that is unlisted for so long is gone
 # An idle machine is kept for so long if no job has arrived during the last startup time.
-QUIET_HOLD_S = 4.0
+QUIET_IDLE_HOLD_S = 4.0
 RECLAIM_MARGIN_S = 1.0  # added to the time at which a spot machine is to be reclaimed
-USAGE_SAMPLE_S = 10.0  # between samples of all machines' activities, for the usage log line
-USAGE_LOG_S = 30.0  # between usage log lines
+USAGE_SAMPLE_INTERVAL_S = 10.0  # between samples of machine activity, for the usage log line
+USAGE_LOG_INTERVAL_S = 30.0  # between usage log lines
 QUOTA_IDLE_HOLD_S = 300.0  # idle machines are kept for so long if teams have a quota guarantee
 # Idle machines deleted at a time for starving jobs that can't use them, after capacity errors.
-RETURNED_FOR_STARVING_JOB = 4
+MAX_DELETED_FOR_STARVING_JOB = 4
 # Such machines have been idle for so long: others are likely to be reused, with cached images.
-RETURNED_FOR_STARVING_JOB_IDLE_S = 90.0
-RETURNED_FOR_STARVING_JOB_GAP_S = 30.0  # between such deletions, so that each can take effect
+DELETED_FOR_STARVING_JOB_IDLE_S = 90.0
+DELETED_FOR_STARVING_JOB_INTERVAL_S = 30.0  # between such deletions, so that each can take effect
 # Times startup_s: other idle machines are kept for so long, which costs about as much as starting
 # a new machine and fetching images again.
-IDLE_STARTUP_TIMES = 1.0
+IDLE_HOLD_STARTUP_FACTOR = 1.0
 
 # --- peers --------------------------------------------------------------------------------------
 FORWARD_S = 1.2  # a user waits 2 s for a query, so the store can still be read after this
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from peathall import constants
-from peathall.autoscaling.machine_types import TYPES
+from peathall.autoscaling.machine_types import MACHINE_TYPES_KEY
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.config.modes import Mode
 from peathall.config.platform import Settings, split_addr
@@ -206,12 +206,14 @@
         """Keep the machine types by which submissions are judged while no leader is reachable."""
         while True:
             try:
-                item = await self.store.get(TYPES)
+                item = await self.store.get(MACHINE_TYPES_KEY)
                 if item is not None:
                     self.follower_service.set_types(decode_machine_types(item.value))
             except StoreError as exc:
                 log.debug("machine types not refreshed: %s", exc)
-            await asyncio.sleep(constants.TYPES_S if self.follower_service.types else 2.0)
+            await asyncio.sleep(
+                constants.MACHINE_TYPES_INTERVAL_S if self.follower_service.types else 2.0
+            )
 
     @staticmethod
     async def _expire_task_statuses() -> None:
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from peathall import constants
-from peathall.autoscaling.machine_types import TYPES
+from peathall.autoscaling.machine_types import MACHINE_TYPES_KEY
 from peathall.jobs import records
 from peathall.leader.wiring import LeaderSlices
 from peathall.placement.rounds import ROUND
@@ -60,7 +60,7 @@
         self._load(stored)
 
     async def _read(self) -> StoredState:
-        types = await self._store.get(TYPES)
+        types = await self._store.get(MACHINE_TYPES_KEY)
         live, live_revision = await self._store.scan(records.LIVE)
         done, _ = await self._store.scan(records.DONE)
         rounds, _ = await self._store.scan(ROUND)
@@ -83,7 +83,7 @@
     def _load(self, stored: StoredState) -> None:
         slices = self._slices
         if stored.types is not None:
-            slices.writer.versions[TYPES] = stored.types.version
+            slices.writer.versions[MACHINE_TYPES_KEY] = stored.types.version
             slices.autoscaler.load_types(stored.types.value)
         slices.cells.load(stored.cells)
         slices.jobs.load(stored.live, stored.done, stored.live_revision)
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from peathall import constants
-from peathall.autoscaling.machine_list import list_gap_s
+from peathall.autoscaling.machine_list import list_interval_s
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import StateSettings
@@ -26,7 +26,7 @@
     """More machines than a page of the list, a deletion, a rental or the sockets hold."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(21) as loop:
-        player = FleetPlayer(loop, constants.LIST_PAGE + 100)
+        player = FleetPlayer(loop, constants.MACHINE_LIST_PAGE_SIZE + 100)
 
         async def day() -> None:
             await player.provision(60.0)
@@ -90,9 +90,11 @@
 
 def test_list_pages_leave_most_cloud_calls_to_scaling() -> None:
     for rps in (1.0, 4.0, 6.0):
-        pages = MACHINES / constants.LIST_PAGE
-        assert pages / list_gap_s(MACHINES, rps) < 0.5 * rps
-    assert list_gap_s(600, 4.0) == constants.LIST_S  # fleets of today are looked at as ever
+        pages = MACHINES / constants.MACHINE_LIST_PAGE_SIZE
+        assert pages / list_interval_s(MACHINES, rps) < 0.5 * rps
+    assert (
+        list_interval_s(600, 4.0) == constants.MACHINE_LIST_MIN_INTERVAL_S
+    )  # fleets of today are looked at as ever
 
 
 def test_deleted_machines_are_remembered_while_late_heartbeats_may_come() -> None:
--- a/tests/unit/test_autoscaling.py
+++ b/tests/unit/test_autoscaling.py
@@ -122,7 +122,7 @@
         await autoscaler.scale_in.step()
         assert not autoscaler.scale_in.failed
         assert not workers.cluster.machines
-        assert max(map(len, cloud.deleted)) == constants.DELETE_MAX
+        assert max(map(len, cloud.deleted)) == constants.MAX_DELETION_NAMES
         assert len({name for names in cloud.deleted for name in names}) == 230 + 90
 
     play(test, idle_hold_s=0.0)
@@ -199,17 +199,18 @@
 
     async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
         now = workers.failover_at
-        for number in range(2 * constants.RETURNED_FOR_STARVING_JOB):
+        for number in range(2 * constants.MAX_DELETED_FOR_STARVING_JOB):
             add(workers, number, now)
             workers.cluster.machines[f"m-{number}"].idle_since = (
-                now - constants.RETURNED_FOR_STARVING_JOB_IDLE_S - number + 1
+                now - constants.DELETED_FOR_STARVING_JOB_IDLE_S - number + 1
             )
         job = JobView(spec(id="j-1", zone="b"), 1, is_starving=True)
         autoscaler.note_unplaced(unplaced(job, 1))
         assert not autoscaler.scale_in.machines_to_delete(now)  # no capacity error yet
         autoscaler.provisioner.capacity_errors[OfferKey("g", "b", False)] = now + 200.0
         assert (
-            len(autoscaler.scale_in.machines_to_delete(now)) == constants.RETURNED_FOR_STARVING_JOB
+            len(autoscaler.scale_in.machines_to_delete(now))
+            == constants.MAX_DELETED_FOR_STARVING_JOB
         )
 
         def deleted_for_it(at: float) -> int:
@@ -218,12 +219,12 @@
 
         assert not deleted_for_it(now + 1.0)  # first it must show whether that helps
         assert (
-            deleted_for_it(now + constants.RETURNED_FOR_STARVING_JOB_GAP_S + 0.1)
-            == constants.RETURNED_FOR_STARVING_JOB
+            deleted_for_it(now + constants.DELETED_FOR_STARVING_JOB_INTERVAL_S + 0.1)
+            == constants.MAX_DELETED_FOR_STARVING_JOB
         )  # sums are not exact
         autoscaler.note_unplaced(unplaced(JobView(spec(id="j-2"), 1, is_starving=True), 1))
         assert not deleted_for_it(
-            now + 3 * constants.RETURNED_FOR_STARVING_JOB_GAP_S
+            now + 3 * constants.DELETED_FOR_STARVING_JOB_INTERVAL_S
         )  # it could use them itself
 
     play(test)
