--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -1,4 +1,4 @@
-"""The policy of scale-in: which machines are deleted, and why."""
+"""The scale-in policy: which machines are deleted, and why."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 
 
 class CapacityShortage(Struct, frozen=True):
-    """What the cloud does not provide."""
+    """The demand that the cloud does not meet at present."""
 
-    starving: list[JobSpec]  # jobs that have waited long for machines
-    has_capacity_errors: bool  # the cloud lately provisioned less than was requested
+    starving: list[JobSpec]  # jobs that have long waited for machines
+    has_capacity_errors: bool  # the cloud recently provisioned less than was requested
 
 
 class ScaleInPolicy:
-    """Decides which machines are deleted: silent, draining, reclaimed, late or idle ones.
+    """Selects the machines to delete: silent, draining, reclaimed, idle, or late to start.
 
-    `idle_hold_s`: seconds for which idle machines are kept; None for a choice by cost.
+    `idle_hold_s`: seconds for which idle machines are kept; None derives them from costs.
     """
 
     def __init__(
@@ -46,10 +46,10 @@
         self._startup_times = startup_times
         self._idle_hold_s = idle_hold_s
         self._has_guarantees = any(team.cpus or team.gpus for team in params.teams)
-        self._last_made_capacity_at = -1e9
+        self._last_freed_capacity_at = -1e9
 
     def machines_to_delete(self, now: float, shortage: CapacityShortage) -> list[Machine]:
-        """Machines that are of no use any more, at most as many as one request may name."""
+        """Machines that are no longer useful, at most as many as one deletion request may name."""
         self._health.note_tick(now)
         self._startup_times.update()
         live_share = self._health.live_share(now)
@@ -57,7 +57,7 @@
         chosen = []
         for machine in self._cluster.machines.values():
             reason = self._reason(machine, now, live_share, heard_elsewhere)
-            if not reason and self._unreachable(machine, now) and not heard_elsewhere(machine):
+            if not reason and self._is_unreachable(machine, now) and not heard_elsewhere(machine):
                 silent_s = self._health.silence_s(machine, now)
                 reason = f"no heartbeat for {silent_s:.0f} s, and it answers no liveness probe"
             if reason:
@@ -66,13 +66,13 @@
                 chosen.append(machine)
         for machine in self.idle_for_starving_jobs(now, shortage):
             log.info(
-                "machine %s is to be deleted: it is idle, and the cloud has no capacity for a "
-                "starving job that cannot use it",
+                "machine %s is to be deleted: it is idle, no starving job can use it, and the "
+                "cloud has no capacity for such a job",
                 machine.name,
             )
             chosen.append(machine)
-        chosen.sort(key=lambda m: not m.attempts)  # first those whose tasks wait for it
-        return chosen[: constants.DELETE_MAX]
+        chosen.sort(key=lambda m: not m.attempts)  # first those with tasks: deletion frees them
+        return chosen[: constants.MAX_DELETION_NAMES]
 
     def _reason(
         self,
@@ -81,7 +81,7 @@
         live_share: float,
         heard_elsewhere: Callable[[Machine], bool],
     ) -> str:
-        """Why the machine is to be deleted; empty if it is not."""
+        """Why the machine is to be deleted; empty if it is to be kept."""
         phase = machine.phase
         if phase is MachinePhase.DELETING:
             return "its deletion is repeated"
@@ -89,12 +89,12 @@
             return self._reason_starting(machine, now)
         if phase is MachinePhase.DRAINING:
             return self._reason_draining(machine, now)
-        is_judged = live_share >= constants.MIN_LIVE_SHARE
-        if phase in (MachinePhase.UP, MachinePhase.RECOVERED) and is_judged:
+        enough_live = live_share >= constants.MIN_LIVE_SHARE
+        if phase in (MachinePhase.UP, MachinePhase.RECOVERED) and enough_live:
             reason = self._reason_silent(machine, now, live_share, heard_elsewhere)
             if reason:
                 return reason
-        # One that is not confirmed takes no work yet: it is not idle.
+        # An unconfirmed machine does not count as idle, since it cannot take work yet.
         if (
             phase is MachinePhase.UP
             and machine.confirmed
@@ -105,10 +105,14 @@
         return ""
 
     def _reason_starting(self, machine: Machine, now: float) -> str:
-        is_late_alone = self._startup_times.later_one_started(machine)
-        factor = constants.STARTUP_PATIENCE if is_late_alone else constants.STARTUP_PATIENCE_ALL
+        is_late_alone = self._startup_times.later_machine_is_up(machine)
+        factor = (
+            constants.STARTUP_TIMEOUT_FACTOR
+            if is_late_alone
+            else constants.STARTUP_TIMEOUT_FACTOR_ALL_LATE
+        )
         limit_s = max(
-            constants.STARTUP_PATIENCE_MIN_S, factor * self._startup_times.nominal_s(machine)
+            constants.MIN_STARTUP_TIMEOUT_S, factor * self._startup_times.nominal_s(machine)
         )
         age_s = now - machine.created_at
         return f"it has not started up in {age_s:.0f} s" if age_s > limit_s else ""
@@ -121,7 +125,7 @@
             machine.reclaimed_at is not None
             and now > machine.reclaimed_at + constants.RECLAIM_MARGIN_S
         ):
-            # The answer to the deletion frees its tasks before their lease does.
+            # The response to the deletion releases its tasks before their lease expires.
             return "the cloud has reclaimed it by now"
         return ""
 
@@ -132,7 +136,7 @@
         live_share: float,
         heard_elsewhere: Callable[[Machine], bool],
     ) -> str:
-        """Silent, without acknowledgement, or known from a single heartbeat."""
+        """Why a machine that is up counts as lost; empty if it does not."""
         lost_s = self._health.lost_after_s()
         silent_s = self._health.silence_s(machine, now)
         is_certain = live_share >= constants.CERTAIN_LIVE_SHARE
@@ -140,15 +144,16 @@
             return f"no heartbeat for {silent_s:.0f} s"
         since = machine.unacknowledged_since
         if since is not None and now - since > lost_s:
-            return f"it has acknowledged no answer for {now - since:.0f} s"
+            return f"it has acknowledged no response for {now - since:.0f} s"
         is_unconfirmed = machine.phase is MachinePhase.UP and not machine.confirmed
         if is_unconfirmed and now - machine.registered_at > 2 * lost_s:
-            # Perhaps a late copy of a heartbeat from a machine that is long gone.
-            return "one heartbeat only, and none since that acknowledges an answer"
+            # The heartbeat may be a late copy from a machine that no longer exists.
+            return "it sent one heartbeat, and none since that acknowledges a response"
         return ""
 
-    def _unreachable(self, machine: Machine, now: float) -> bool:
-        """A machine with replicas, which are missed at once: silent, and it answers no probe."""
+    def _is_unreachable(self, machine: Machine, now: float) -> bool:
+        """Whether a machine is silent and fails its liveness probes. Only machines with replicas
+        are deleted this early, since missing replicas are noticed at once."""
         return (
             machine.failed_probes >= constants.PROBE_TRIES
             and machine.replicas > 0
@@ -158,14 +163,14 @@
         )
 
     def idle_for_starving_jobs(self, now: float, shortage: CapacityShortage) -> list[Machine]:
-        """A few long idle machines of no use to a starving job, if the cloud has no capacity for
-        that job: it may have provisioned all that it has. Seldom, since clouds mostly limit each
-        type and zone by itself."""
-        gap_s = now - self._last_made_capacity_at
+        """A few long-idle machines that no starving job can use, if the cloud has returned capacity
+        errors: deleting them may free capacity for machines that the job can use. Done rarely,
+        since most clouds limit each type and zone separately."""
+        gap_s = now - self._last_freed_capacity_at
         if (
             not shortage.starving
             or not shortage.has_capacity_errors
-            or gap_s < constants.RETURNED_FOR_STARVING_JOB_GAP_S
+            or gap_s < constants.DELETED_FOR_STARVING_JOB_INTERVAL_S
         ):
             return []
         idle = [
@@ -173,7 +178,7 @@
             for machine in self._cluster.machines.values()
             if machine.phase is MachinePhase.UP
             and not machine.attempts
-            and now - machine.idle_since > constants.RETURNED_FOR_STARVING_JOB_IDLE_S
+            and now - machine.idle_since > constants.DELETED_FOR_STARVING_JOB_IDLE_S
         ]
         found = [
             machine
@@ -181,17 +186,17 @@
             if offer and not any(suits(offer, spec) for spec in shortage.starving)
         ]
         if found:
-            self._last_made_capacity_at = now
-        return found[: constants.RETURNED_FOR_STARVING_JOB]
+            self._last_freed_capacity_at = now
+        return found[: constants.MAX_DELETED_FOR_STARVING_JOB]
 
-    def _no_work(self) -> bool:
+    def _has_no_work(self) -> bool:
         return not any(
             job.phase is JobPhase.ACTIVE and (job.pending or not job.spec.daemon)
             for job in self._cluster.jobs.values()
         )
 
     def _hold_s(self, machine: Machine, now: float) -> float:
-        """Seconds for which an idle machine is kept: until provisioning it anew costs less."""
+        """Seconds for which an idle machine is kept: until a new one later would cost less."""
         if self._idle_hold_s is not None:
             return self._idle_hold_s
         machine_type = self._cluster.types.get(machine.type)
@@ -199,15 +204,15 @@
             return constants.QUOTA_IDLE_HOLD_S
         startup_s = machine_type.startup_s
         is_quiet = now - self._cluster.last_submission_at > startup_s
-        if self._has_guarantees and not (is_quiet and self._no_work()):
-            # Teams with guarantees are not to wait: capacity is held ready for them.
+        if self._has_guarantees and not (is_quiet and self._has_no_work()):
+            # Teams with a quota guarantee must not wait, so capacity is kept for them.
             return constants.QUOTA_IDLE_HOLD_S
         if is_quiet:
-            return constants.QUIET_HOLD_S  # nothing arrives that it could be held for
-        # In place of a spot machine there may be only an ordinary one to provision.
+            return constants.QUIET_IDLE_HOLD_S  # no jobs arrive that could use it
+        # A deleted spot machine may only be replaceable by a dearer on-demand machine.
         price_ratio = (
             machine_type.price / machine_type.spot_price
             if machine.spot and machine_type.spot_price
             else 1.0
         )
-        return constants.IDLE_STARTUP_TIMES * startup_s * price_ratio
+        return constants.IDLE_HOLD_STARTUP_FACTOR * startup_s * price_ratio
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 
 from peathall import constants
-from peathall.autoscaling.machine_types import TYPES
+from peathall.autoscaling.machine_types import MACHINE_TYPES_KEY
 from peathall.jobs import records
 from peathall.leader.wiring import LeaderComponents
 from peathall.placement.rounds import ROUND_PREFIX
@@ -60,7 +60,7 @@
         self._load(stored)
 
     async def _read(self) -> StoredState:
-        types = await self._store.get(TYPES)
+        types = await self._store.get(MACHINE_TYPES_KEY)
         live, live_revision = await self._store.scan(records.LIVE_PREFIX)
         done, _ = await self._store.scan(records.DONE_TASKS_PREFIX)
         rounds, _ = await self._store.scan(ROUND_PREFIX)
@@ -83,7 +83,7 @@
     def _load(self, stored: StoredState) -> None:
         components = self._components
         if stored.types is not None:
-            components.writer.versions[TYPES] = stored.types.version
+            components.writer.versions[MACHINE_TYPES_KEY] = stored.types.version
             components.autoscaler.load_types(stored.types.value)
         components.cells.load(stored.cells)
         components.jobs.load(stored.live, stored.done, stored.live_revision)
@@ -91,6 +91,6 @@
         components.image_caches.load(stored.image_caches)
         components.failing_jobs.load(stored.failing_jobs)
         components.autoscaler.mark_deleting(stored.pending_deletions, self._loop.time())
-        # After all jobs, borrowed ones included, since the rounds name attempts of their tasks.
+        # Last: the attempts in them need the jobs, borrowed ones included.
         components.placement.rounds.load(stored.rounds, self._loop.time())
         components.workers.failover_at = self._loop.time()
