--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -64,61 +64,64 @@
 LEADERLESS_BACKOFF_S = 6.0  # ... unless there has been no leader for this long
 
 # --- workers ------------------------------------------------------------------------------------
-LEASE_EXPIRY_MARGIN_S = 1.0  # over the lease and the drift, for late timers of this process
-TICK_S = 1.0  # between checks of leases; capacity is freed at most this much late
-# Heartbeat intervals without a heartbeat: from then on a machine gets no new work.
+LEASE_EXPIRY_MARGIN_S = 1.0  # added to lease and clock drift, for late timers of this process
+TICK_S = 1.0  # between checks of leases; capacity of an expired lease is freed at most so late
+# Heartbeat intervals without a heartbeat after which a machine takes no new work.
 SUSPECT_HEARTBEATS = 3.0
-SUSPECT_LEASE = 0.5  # of the worker's lease, if that is less: heartbeats may be far apart
-STALL_S = 3.0  # ticks that are further apart mean that this process was stalled
-# Heartbeat intervals, which vary by a quarter: a machine with replicas that is silent for longer
-# has missed a heartbeat and is probed.
+SUSPECT_LEASE = 0.5  # of the worker's lease, if that is less: a site may set long intervals
+STALL_S = 3.0  # a longer time between ticks means that this process was stalled
+# Heartbeat intervals of silence after which a machine with replicas has missed a heartbeat and is
+# probed; the intervals vary by a quarter.
 PROBE_AFTER_HEARTBEATS = 1.4
-PROBE_TRIES = 2  # probes without a response, one after the other: then the machine counts as lost
+PROBE_TRIES = 2  # consecutive probes without a response after which the machine counts as lost
 PROBE_TIMEOUT_S = 1.0  # a live machine responds within milliseconds
-# Heartbeat intervals within which most machines must have reported, or this controller may itself
-# be partitioned and no probe counts.
+# Heartbeat intervals within which most machines must have sent a heartbeat. Otherwise this
+# controller may itself be partitioned, and neither begins probes nor uses their results.
 PROBE_RECENT_HEARTBEATS = 1.3
-# Share of the machines that "most" means there: a partitioned zone is mostly more than the rest.
+# Share of the machines that must have done so: a partitioned zone usually has more machines than
+# the rest.
 PROBE_MIN_LIVE_SHARE = 0.7
-# Heartbeat intervals without a heartbeat: then deleting the machine frees its tasks before their
-# lease does.
+# Heartbeat intervals without a heartbeat after which a machine is deleted: that releases its tasks
+# before the worker's lease expires.
 LOST_HEARTBEATS = 5.0
-LOST_LEASE = 0.6  # of the worker's lease, if that is less: later, the lease would expire as soon
-# Share of the machines that neither reach this leader nor receive its responses: it resigns.
+LOST_LEASE = 0.6  # of the worker's lease, if that is less: a later deletion would gain no time
+# Share of the machines, unable to reach this leader or to receive its responses, above which it
+# resigns.
 UNREACHABLE_SHARE = 0.5
-# Share of the machines that must be live before silence is blamed on a single machine. One that
-# is alive across a partition of ours sends heartbeats to another controller, which tells us.
+# Share of the machines that must be live before a silent machine counts as lost. A live machine
+# that is partitioned from the leader sends heartbeats to another controller, which reports them.
 MIN_LIVE_SHARE = 0.3
-CERTAIN_LIVE_SHARE = 0.8  # live share above which a machine that only others hear is deleted
-HEARTBEAT_HOLD_S = 1.5  # a heartbeat waits so long for a leader in recovery (worker's limit 4 s)
-UNHEALTHY_FAILED_JOBS = 3  # different jobs that failed in a row before a machine is quarantined
-FAILING_JOB_MACHINES = 2  # on which a job failed that succeeded nowhere: probably its own fault
-WIDESPREAD_FAILURE_MACHINES = 3  # on which a job failed that had succeeded before
-FAILING_JOBS_KEPT = 200  # entries of the record that a new leader reads
-FAILING_JOB_BYTES = 48  # of one entry: an id has up to 32
-SUCCESS_RUNTIME_S = 5.0  # a task that fails by itself fails early: running for longer is success
-AVOID_MACHINES = 3  # machines that a job which failed there avoids, at most
-ERROR_BACKOFF_S = 2.0  # doubled with each failed start of a failing job
-ERROR_BACKOFF_MAX_S = 60.0  # a failing job stays until its user cancels it
-CHECKPOINT_GRACE_S = 3.0  # added to the time that a task needs for a checkpoint
-# Records over which the machines' image caches are spread, at least: a wave of new images on
-# hundreds of machines costs no more writes than this.
+# Live share from which a machine is deleted that sends heartbeats only to other controllers.
+CERTAIN_LIVE_SHARE = 0.8
+HEARTBEAT_HOLD_S = 1.5  # longest wait of a heartbeat for a leader in recovery; the worker waits 4 s
+UNHEALTHY_FAILED_JOBS = 3  # that fail in a row on a machine before it is quarantined
+FAILING_JOB_MACHINES = 2  # machines on which a job that never succeeded fails: it counts as failing
+WIDESPREAD_FAILURE_MACHINES = 3  # the same for a job that has succeeded before
+FAILING_JOBS_KEPT = 200  # entries in the record of failing jobs, which a new leader reads
+FAILING_JOB_BYTES = 48  # of one entry; a job id has up to 32
+SUCCESS_RUNTIME_S = 5.0  # running longer counts as success: a faulty task fails early
+AVOID_MACHINES = 3  # most machines that a job avoids since it failed there
+ERROR_BACKOFF_S = 2.0  # doubled with each consecutive failed start of a failing job
+ERROR_BACKOFF_MAX_S = 60.0  # a failing job is retried until its user cancels it
+CHECKPOINT_GRACE_S = 3.0  # added to the time that a job states for a checkpoint
+# Minimum number of records for the machines' image caches: new images on hundreds of machines at
+# once cost no more writes than there are records.
 CACHE_RECORDS = 64
-# Bytes of one machine's entry in such a record, at least: its name and about four images.
+# Minimum bytes for one machine's entry in such a record: its name and about four images.
 CACHE_BYTES = 130
-FORGET_CACHES_S = 60.0  # after failover every live machine has sent a heartbeat or is listed
-# Tasks in one heartbeat, exited ones included, and commands in one response: each takes about 80
-# bytes of the protocol's 64 KiB, and a machine whose heartbeat is too large would be lost.
+FORGET_CACHES_S = 60.0  # after failover; by then each live machine sent a heartbeat or is listed
+# Most tasks in one heartbeat, including exited tasks, and most commands in one response. Each takes
+# about 80 bytes of the protocol's 64 KiB, and a machine whose heartbeats are too large is lost.
 MACHINE_TASKS = 600
-# Age at which a decoded task status that no heartbeat repeats is dropped. Each takes some 700
-# bytes, so memory follows what the machines report.
+# Age at which a decoded task status that no heartbeat repeats is dropped from the cache, so that
+# the cache holds current statuses only. Each takes some 700 bytes.
 TASK_STATUS_CACHE_S = 30.0
-DELETED_MEMORY_S = 1800.0  # late copies of a deleted machine's heartbeats come minutes late
-# A second and core: direct start commands for tasks that could wait for their machine's next
-# heartbeat, at most. Each costs the leader about as much as a heartbeat.
+DELETED_MEMORY_S = 1800.0  # copies of a deleted machine's heartbeats may arrive minutes late
+# Direct commands per second and CPU core, at most, that could wait for their machine's next
+# heartbeat. Each costs the leader about as much as a heartbeat.
 DEFERRABLE_COMMANDS = 40.0
-GC_OBJECTS = 20_000  # new objects between runs of the cycle collector: asyncio makes few cycles
-DIRECT_TIMEOUT_S = 2.0  # a direct command without a response is repeated by the next heartbeat
+GC_OBJECTS = 20_000  # allocations between runs of the cycle collector: asyncio makes few cycles
+DIRECT_TIMEOUT_S = 2.0  # then the response to the next heartbeat repeats the command
 
 # --- placement ----------------------------------------------------------------------------------
 ROUND_GAP_S = 0.2  # least distance of two rounds: what arrives together is decided together
--- a/peathall/workers/__init__.py
+++ b/peathall/workers/__init__.py
@@ -1,1 +1,1 @@
-"""Workers: heartbeats, leases, health, and the commands that are sent to them."""
+"""Handling of workers: heartbeats, leases, machine health, and commands to workers."""
--- a/peathall/workers/attempt_control.py
+++ b/peathall/workers/attempt_control.py
@@ -1,4 +1,4 @@
-"""Ending attempts: stopping them, and what follows when machines have lost them."""
+"""Ending of attempts: stop commands, and the consequences of lost attempts."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class AttemptControl:
-    """Stops attempts, and stops what is left of a gang when one of its tasks has gone."""
+    """Stops attempts, and the rest of a gang when one of its attempts has ended."""
 
     def __init__(
         self,
@@ -25,25 +25,25 @@
         self.listener = listener
 
     def stop(self, attempt: Attempt, grace_s: float, now: float) -> None:
-        """Stop an attempt, with so many seconds to checkpoint.
+        """Stop an attempt, giving it `grace_s` seconds to save a checkpoint.
 
-        The command is sent at once, and with every answer to a heartbeat until the attempt is
-        gone. A later call may only shorten the time.
+        The command is sent at once, and repeated in every heartbeat response until the attempt is
+        gone. A later call may only shorten the grace period.
         """
         if attempt.stopping and grace_s >= attempt.grace_s:
             return
         attempt.stopping = True
         attempt.grace_s = grace_s
         if attempt.phase is AttemptPhase.INTENDED:
-            # No start command was sent, so no machine has it.
+            # No start command was sent, so the attempt is on no machine.
             self.cluster.release(attempt, now)
             return
         if attempt.phase is not AttemptPhase.PLANNED:
             self.delivery.push(self.cluster.machines[attempt.machine])
 
     def break_gang(self, job: Job, number: int, now: float) -> None:
-        """Stop the attempts of a gang of which one has gone, at once: they cannot go on, so there
-        is nothing to checkpoint."""
+        """Stop the remaining attempts of a gang of which one has ended, without time to checkpoint:
+        they cannot make progress alone."""
         if len(job.done) >= job.spec.tasks:
             return
         peers = [attempt for attempt in job.attempts.values() if attempt.number == number]
@@ -51,8 +51,8 @@
             self.stop(peer, 0.0, now)
 
     def note_lost(self, attempts: list[Attempt], now: float) -> None:
-        """Released attempts are lost: their machine is gone, its lease expired, or its heartbeat
-        does not show them."""
+        """Handle the loss of attempts, which are released already: their machine is gone, its lease
+        expired, or its heartbeat does not report them."""
         for attempt in attempts:
             self.direct_starts.forget(attempt)
             if attempt.job.spec.gang:
--- a/peathall/workers/attempt_tracking.py
+++ b/peathall/workers/attempt_tracking.py
@@ -1,4 +1,4 @@
-"""What is remembered of attempts on machines beyond the cluster state."""
+"""Data on attempts and reported tasks that is kept in addition to the cluster state."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class AttemptTracking(Struct, frozen=True):
-    """Written by the reconciliation of heartbeats, read when commands are chosen."""
+    """Updated when heartbeats are reconciled, read when commands are chosen."""
 
     exits: ExitedAttempts
     unknown_tasks: UnknownTasks
     direct_starts: DirectStarts
 
     def drop_machine(self, machine: str) -> None:
-        """Forget the tasks that the machine reported: it is gone."""
+        """Forget the tasks reported by a machine that is gone."""
         self.exits.drop(machine)
         self.unknown_tasks.drop(machine)
--- a/peathall/workers/commands.py
+++ b/peathall/workers/commands.py
@@ -1,4 +1,4 @@
-"""Which commands are due to a machine: start, stop and forget."""
+"""Choice of the start, stop and forget commands that are due to a machine."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class DueCommands:
-    """Chooses the commands that are due. Start commands that are chosen count as sent."""
+    """Chooses the commands that are due. Attempts whose start command is chosen count as sent."""
 
     def __init__(self, tokens: FencingTokenCounter, tracking: AttemptTracking) -> None:
         self.tokens = tokens
@@ -24,7 +24,7 @@
         self.loop = asyncio.get_running_loop()
 
     def for_response(self, machine: Machine, now: float) -> list[Command]:
-        """Commands for the answer to a heartbeat."""
+        """Commands for the response to a heartbeat."""
         commands = self._attempt_commands(machine, now, direct=False)
         commands += self._forget_commands(machine, constants.MACHINE_TASKS - len(commands))
         for status in self.unknown_tasks.of(machine.name):
@@ -32,20 +32,20 @@
         return commands
 
     def for_delivery(self, machine: Machine, now: float) -> list[Command]:
-        """Commands to send directly: starts and stops only, since the others can wait."""
+        """Commands to send directly: only starts and stops, since forget commands can wait."""
         return self._attempt_commands(machine, now, direct=True)
 
     def _attempt_commands(self, machine: Machine, now: float, direct: bool) -> list[Command]:
-        """Starts and stops; at most as many as an answer may hold."""
+        """Start and stop commands, at most as many as a response may hold."""
         commands: list[Command] = []
         usable = machine.confirmed and machine.phase in (MachinePhase.UP, MachinePhase.DRAINING)
         usable = usable and machine.unacknowledged_since is None
         running = AttemptPhase.RUNNING
         for (job_id, task), attempt in machine.attempts.items():
             if attempt.phase is running and not attempt.stopping:
-                continue  # nearly all of them
+                continue  # the most frequent case
             if len(commands) >= constants.MACHINE_TASKS:
-                break  # the next answer carries the others
+                break  # the next response carries the others
             if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.GONE):
                 continue
             if attempt.stopping:
@@ -69,6 +69,6 @@
         )
 
     def _forget_commands(self, machine: Machine, limit: int) -> list[ForgetCommand]:
-        """For ended attempts that their machine need not report any more."""
+        """Forget commands for ended attempts that the machine need not report any more."""
         exits = islice(self.exits.forgettable(machine.name, self.tokens.current), max(0, limit))
         return [ForgetCommand(exited.job, exited.task, exited.number) for exited in exits]
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -1,4 +1,4 @@
-"""Direct commands: sent to a worker without waiting for its next heartbeat."""
+"""Direct commands, which are sent to a worker without waiting for its next heartbeat."""
 
 from __future__ import annotations
 
@@ -21,27 +21,27 @@
 
 
 class CommandSource(Protocol):
-    """Chooses the commands for a machine, and applies its response to them."""
+    """Chooses the commands for a machine, and applies the worker's response to them."""
 
     def commands_due(self, machine: Machine) -> dict[str, Any] | None:
-        """The encoded message with the commands that are due; None if there are none."""
+        """The encoded request with the commands that are due; None if there are none."""
 
     def note_command_response(self, machine: Machine, heartbeat: Heartbeat) -> None:
         """Apply the response, which has the form of a heartbeat."""
 
 
 class DeliveryLimits(Struct, frozen=True):
-    """Bounds of direct commands."""
+    """Limits on direct commands."""
 
-    connections: int  # open at once, at most
-    deferrable_per_s: float = constants.DEFERRABLE_COMMANDS  # rate of deferrable ones
+    connections: int  # maximum number open at once
+    deferrable_per_s: float = constants.DEFERRABLE_COMMANDS  # beyond this, deferrable commands wait
 
 
 class CommandDelivery:
     """Sends direct commands, one request at a time for each machine.
 
-    At most `connections` requests are open at once; `rate` is that of deferrable commands, in
-    commands for each second.
+    At most `connections` requests are open at once, and at most `rate` deferrable commands are sent
+    per second.
     """
 
     def __init__(
@@ -54,15 +54,14 @@
         self.under_way: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
         self.deferrable = TokenBucket(rate)
         self._connection_slots = asyncio.Semaphore(connections)
-        # By address; the least recently used first.
+        # By worker address, the least recently used first.
         self._clients: OrderedDict[str, HttpClient] = OrderedDict()
 
     def push(self, machine: Machine, deferrable: bool = False) -> None:
-        """Send the commands that are due to the machine, without waiting for them to arrive.
+        """Begin to send the commands that are due to the machine.
 
-        Deferrable commands are sent only within their rate limit. Beyond it they wait for the
-        next heartbeat, whose answer carries all of them: the more there is to start, the more
-        requests that saves.
+        Deferrable commands above their rate limit wait for the machine's next heartbeat, whose
+        response carries all of them: the more there is to start, the more requests this saves.
         """
         if deferrable and self.deferrable.wait(1, self.loop.time()) > 0:
             return
@@ -71,11 +70,15 @@
 
     async def _deliver(self, machine: Machine) -> None:
         try:
-            await asyncio.sleep(0)  # all that is decided in this pass of the loop is sent together
+            await asyncio.sleep(0)  # so that all commands of this event loop pass share one request
             async with self._connection_slots:
                 await self._deliver_now(machine)
         except (NoAnswerError, codec.MalformedError) as exc:
-            log.info("direct commands to machine %s failed: %s", machine.name, exc)
+            log.info(
+                "direct commands to machine %s failed, retry at next heartbeat: %s",
+                machine.name,
+                exc,
+            )
         finally:
             del self.under_way[machine.name]
 
@@ -87,15 +90,19 @@
             "POST", COMMANDS_PATH, codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
         )
         if status != 200:
-            log.info("direct commands to machine %s refused: status %d", machine.name, status)
+            log.info(
+                "direct commands to machine %s refused, retry at next heartbeat: HTTP status %d",
+                machine.name,
+                status,
+            )
         elif self.is_leader():
             self.source.note_command_response(machine, decode_heartbeat(codec.cbor_map(raw)))
 
     def _client(self, addr: str) -> HttpClient:
-        """The client for a worker.
+        """The HTTP client for a worker.
 
-        The least recently used idle ones are closed, so that hundreds of machines do not use up
-        the sockets.
+        The least recently used idle clients beyond `connections` are closed, so that hundreds of
+        machines do not use up the sockets.
         """
         client = self._clients.get(addr)
         if client is None:
@@ -115,7 +122,7 @@
             client.close()
 
     def close(self) -> None:
-        """Cancel the requests that are in progress, and close all connections."""
+        """Cancel the requests in flight, and close all connections."""
         for task in self.under_way.values():
             task.cancel()
         for client in self._clients.values():
--- a/peathall/workers/direct_starts.py
+++ b/peathall/workers/direct_starts.py
@@ -1,4 +1,4 @@
-"""Start commands that were sent directly, and may be carried out late."""
+"""Start commands that were sent directly and may be executed late."""
 
 from __future__ import annotations
 
@@ -6,17 +6,17 @@
 
 
 class DirectStarts:
-    """The fencing tokens under which start commands were sent directly.
+    """The fencing tokens of start commands that were sent directly.
 
-    A direct command has no place in the order of heartbeats: it may arrive after a later
-    heartbeat has left the worker. Only a worker that has seen a higher token refuses it.
+    Direct commands are not ordered with heartbeats: a command may arrive after the worker has sent
+    a later heartbeat. Only a worker that has seen a higher token refuses it.
     """
 
     def __init__(self) -> None:
         self._tokens: dict[Attempt, int] = {}
 
     def note(self, attempt: Attempt, token: int) -> None:
-        """A start command for the attempt is sent under this token."""
+        """Record that a start command for the attempt is sent with this token."""
         self._tokens[attempt] = token
 
     def may_arrive(self, attempt: Attempt, seen_token: int) -> bool:
@@ -24,5 +24,5 @@
         return self._tokens.get(attempt, 0) >= seen_token
 
     def forget(self, attempt: Attempt) -> int:
-        """Forget the attempt, which has ended; the token of its direct start, 0 if it had none."""
+        """Forget an attempt that has ended. Returns the token of its direct start, 0 if none."""
         return self._tokens.pop(attempt, 0)
--- a/peathall/workers/events.py
+++ b/peathall/workers/events.py
@@ -1,4 +1,4 @@
-"""Events that heartbeats cause in the other parts of a leader."""
+"""Events that this package reports to other parts of the leader."""
 
 from __future__ import annotations
 
@@ -15,16 +15,16 @@
         """Tasks of the job were reported done."""
 
     def state_changed(self) -> None:
-        """A placement round is due: something may start now, or must be decided anew."""
+        """A placement round is due, since what can or must be placed may have changed."""
 
     def images_changed(self, machine: Machine) -> None:
         """The machine has cached another image."""
 
     def machine_confirmed(self, machine: Machine) -> None:
-        """The machine has shown a fencing token of this term for the first time."""
+        """A heartbeat of the machine carries a fencing token of this term for the first time."""
 
     def spot_notice_received(self, machine: Machine, now: float) -> None:
-        """The cloud has announced that it reclaims the machine."""
+        """The cloud provider has announced that it reclaims the spot machine."""
 
 
 class IgnoredEvents:
--- a/peathall/workers/exit_handler.py
+++ b/peathall/workers/exit_handler.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt: done tasks, failures, retries."""
+"""Effects of the end of an attempt: done tasks, failures, retries."""
 
 from __future__ import annotations
 
@@ -20,7 +20,8 @@
 
 log = logging.getLogger("peathall.workers")
 
-# The worker's state differs from the leader's: its next heartbeats show how.
+# A start was rejected since the worker's state differs from the leader's view. The next heartbeats
+# correct that view, so the start is retried after a backoff.
 STATE_MISMATCH = (ExitReason.NO_CAPACITY, ExitReason.BUSY, ExitReason.UNKNOWN)
 
 
@@ -57,13 +58,13 @@
     ) -> ExitedAttempt:
         """Apply one exit.
 
-        `attempt` is the attempt that ended, None if the cluster state does not have it; `before`
-        is what an earlier heartbeat said of the same exit. Returns what is to be remembered of it.
+        `attempt` is the attempt that ended, None if it is not in the cluster state; `before` is the
+        record of the same exit from an earlier heartbeat. Returns the new record of the exit.
         """
         job = self.cluster.jobs.get(status.job)
-        # A replica of a daemon is never done, whatever is reported: it has ended, and runs again.
+        # A replica of a daemon is never done: even one that reports success is started again.
         done = status.exit_reason is ExitReason.DONE and not (job is not None and job.spec.daemon)
-        # Delayed start commands of an earlier term are fenced by the lowest token of this term.
+        # Attempts of earlier terms need no token: the tokens of this term fence their starts.
         direct_start_token = 0
         if attempt is not None:
             direct_start_token = self.direct_starts.forget(attempt)
@@ -77,7 +78,7 @@
             self._note_done(job, status.task, machine, now)
         if attempt is not None and attempt.phase is not AttemptPhase.GONE:
             self._end_attempt(machine, attempt, status, now)
-        # The successful end of a job that is not known yet is handled again.
+        # The successful exit of a task whose job is not known yet is handled again later.
         settled = job is not None or not done
         return ExitedAttempt(
             status.job, status.task, status.attempt, done, direct_start_token, settled
@@ -87,7 +88,7 @@
         job.has_started = True
         self.quarantine.drain_unhealthy(self.faults.note_success(job, machine, now))
         if job.spec.gang:
-            # The tasks of a gang complete together: when one is done, all are.
+            # The tasks of a gang complete together: when one task is done, all are.
             if len(job.done) < job.spec.tasks:
                 job.mark_all_done()
                 self.listener.tasks_done(job)
--- a/peathall/workers/exits.py
+++ b/peathall/workers/exits.py
@@ -8,7 +8,7 @@
 
 from peathall.cluster.state import ClusterState
 
-# Job, task and attempt number. A plain tuple, since one is made for every ended attempt in every
+# Job, task and attempt number. A plain tuple, since a key is made for every ended attempt in every
 # heartbeat.
 ExitKey = tuple[str, int, int]
 
@@ -20,7 +20,7 @@
     task: int
     number: int
     done: bool
-    direct_start_token: int  # under which its start may still arrive; 0: it cannot
+    direct_start_token: int  # of a direct start command that may still arrive; 0: none
     settled: bool  # False: its job is not known yet, so the exit is handled again
 
 
@@ -32,20 +32,23 @@
         self._by_machine: dict[str, dict[ExitKey, ExitedAttempt]] = {}
 
     def of(self, machine: str) -> dict[ExitKey, ExitedAttempt]:
-        """Those in the machine's latest heartbeat."""
+        """Ended attempts in the machine's latest heartbeat."""
         return self._by_machine.get(machine, {})
 
     def replace(self, machine: str, exits: dict[ExitKey, ExitedAttempt]) -> None:
-        """Set those of a newer heartbeat."""
+        """Replace the machine's ended attempts by those in a newer heartbeat."""
         self._by_machine[machine] = exits
 
     def drop(self, machine: str) -> None:
-        """Forget those of a machine that is gone, or has forgotten all of them."""
+        """Drop the ended attempts of a machine that is gone or no longer reports them."""
         self._by_machine.pop(machine, None)
 
     def forgettable(self, machine: str, fencing_token: int) -> Iterable[ExitedAttempt]:
-        """Those whose end is stored and whose start cannot arrive any more, since it was sent
-        under a lower token than the one that answers carry now."""
+        """Ended attempts for which a forget command may be sent in a response with `fencing_token`.
+
+        Their end is stored, and the worker refuses a late direct start command once it has seen
+        this response, since the command carries a lower token.
+        """
         for exited in self.of(machine).values():
             if self._end_is_stored(exited) and exited.direct_start_token < fencing_token:
                 yield exited
--- a/peathall/workers/failing_jobs.py
+++ b/peathall/workers/failing_jobs.py
@@ -1,6 +1,6 @@
-"""Failing jobs, kept in the state service across failovers, all in one record.
+"""The failing jobs, stored in one record of the state service so that they survive a failover.
 
-The record is a hint: a new leader without it would start all tasks of such a job once more.
+The record is a hint: without it, a new leader would start all tasks of each failing job once more.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class FailingJobsRecord:
-    """The record of the failing jobs."""
+    """Reads and writes the record of failing jobs."""
 
     def __init__(self, cluster: ClusterState, faults: FaultTracker, writer: Writer) -> None:
         self.cluster = cluster
@@ -26,7 +26,7 @@
         faults.on_failing_jobs_changed = self.changed
 
     def load(self, record: KeyValue | None) -> None:
-        """Read the record after a failover, and mark the jobs."""
+        """Read the record after a failover, and mark its jobs as failing."""
         if record is None:
             return
         self.writer.versions[FAILING_JOBS_KEY] = record.version
@@ -36,7 +36,7 @@
                 self.faults.mark_failing(job, consecutive_failures)
 
     def changed(self) -> None:
-        """Write the record, deferred: the set of failing jobs has changed."""
+        """Schedule a deferred write of the record: the set of failing jobs has changed."""
         self.writer.defer(FAILING_JOBS_KEY, self._mutation)
 
     def _mutation(self) -> Mutation:
--- a/peathall/workers/faults.py
+++ b/peathall/workers/faults.py
@@ -1,8 +1,8 @@
 """Fault attribution: whether failures of tasks are due to the machine or to the job.
 
 A machine is unhealthy if it fails jobs that succeed elsewhere; a job is failing if it fails on
-several machines and succeeds on none. One failure alone shows neither. No clock is read: times
-are steady times in seconds and come in as arguments.
+several machines and succeeds on none. A single failure shows neither. All times are monotonic, in
+seconds, and are passed as arguments: this module reads no clock.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from peathall.cluster.machine import Machine
 from peathall.cluster.state import ClusterState
 
-# From so many machines on which a job fails, the job is considered failing.
+# Number of machines on which a job must fail to be considered failing, by its health so far.
 FAILING_JOB_LIMITS = {
     JobHealth.HEALTHY: constants.WIDESPREAD_FAILURE_MACHINES,
     JobHealth.UNKNOWN: constants.FAILING_JOB_MACHINES,
@@ -23,16 +23,19 @@
 
 
 class FaultTracker:
-    """Tells unhealthy machines from failing jobs by the results of both elsewhere."""
+    """Distinguishes unhealthy machines from failing jobs.
+
+    It compares the results of each job on other machines, and of each machine with other jobs.
+    """
 
     def __init__(self, cluster: ClusterState) -> None:
         self.cluster = cluster
-        # Called when a job becomes failing, or is failing no more.
+        # Called when a job becomes failing or stops being so.
         self.on_failing_jobs_changed: Callable[[], None] = lambda: None
         self.watched: dict[str, Job] = {}  # jobs that failed and have not succeeded since
 
     def note_failure(self, attempt: Attempt, runtime_s: float, now: float) -> list[Machine]:
-        """A task failed after it had run for `runtime_s`; the machines found unhealthy."""
+        """Record a failed task that ran for `runtime_s`. Returns the machines found unhealthy."""
         job, machine = attempt.job, self.cluster.machines[attempt.machine]
         self._count_failure(job, machine, attempt.number, runtime_s, now)
         if len(job.failed_on) >= FAILING_JOB_LIMITS[job.health]:
@@ -54,17 +57,17 @@
     def _count_failure(
         self, job: Job, machine: Machine, number: int, runtime_s: float, now: float
     ) -> None:
-        job.failed_on.pop(machine.name, None)  # the latest goes to the end
+        job.failed_on.pop(machine.name, None)  # moves the latest failure to the end
         job.failed_on[machine.name] = now
         job.longest_failed_run_s = max(job.longest_failed_run_s, runtime_s)
         self.watched[job.spec.id] = job
         if number != job.last_failed_attempt:
-            # Tasks that were started together have one attempt number and fail together.
+            # Tasks that were started together share an attempt number: they count as one failure.
             job.last_failed_attempt = number
             job.consecutive_failures += 1
 
     def _clear_machines(self, job: Job) -> None:
-        """A job that fails on several machines does not count against any of them."""
+        """Stop counting a job that fails on several machines against these machines."""
         for name in job.failed_on:
             machine = self.cluster.machines.get(name)
             if machine is not None:
@@ -76,13 +79,13 @@
         return min(constants.ERROR_BACKOFF_MAX_S, backoff_s)
 
     def mark_failing(self, job: Job, consecutive_failures: int) -> None:
-        """The job is failing: so many of its starts failed in a row."""
+        """Mark the job as failing, with this number of starts that failed in a row."""
         job.set_health(JobHealth.FAILING)
         job.consecutive_failures = consecutive_failures
         self.watched[job.spec.id] = job
 
     def note_success(self, job: Job, machine: Machine, now: float) -> list[Machine]:
-        """A task of the job has succeeded on the machine; the machines found unhealthy."""
+        """Record a success of the job on the machine. Returns the machines found unhealthy."""
         machine.last_success_at = now
         machine.failed_jobs.clear()
         job.failed_on.pop(machine.name, None)
@@ -98,11 +101,11 @@
         job.consecutive_failures = 0
         job.backoff_until = 0.0
         unhealthy = self._machines_without_success(job)
-        # So many at once are not each unhealthy: they had a common cause, which is over.
+        # Failures on this many machines had a common cause, which is over: a task succeeded.
         return unhealthy if len(unhealthy) < constants.WIDESPREAD_FAILURE_MACHINES else []
 
     def _machines_without_success(self, job: Job) -> list[Machine]:
-        """Machines on which the job failed and nothing has succeeded since, the latest last."""
+        """Machines on which the job failed and no task has succeeded since, latest failure last."""
         failed = [(self.cluster.machines.get(name), at) for name, at in job.failed_on.items()]
         return [
             machine
@@ -115,8 +118,8 @@
         return machine.last_success_at > failed_at
 
     def note_runtimes(self, now: float) -> list[Machine]:
-        """Called every second: a job is healthy if a task has run for longer than those that
-        failed. Returns the machines found unhealthy by that."""
+        """Mark jobs as healthy of which a task has run much longer than the failed tasks; called
+        every second. Returns the machines found unhealthy as a result."""
         unhealthy: list[Machine] = []
         for job in list(self.watched.values()):
             if self.cluster.jobs.get(job.spec.id) is not job:
@@ -130,6 +133,6 @@
         return unhealthy
 
     def machines_to_avoid(self, job: Job) -> list[str]:
-        """Machines on which the job failed and nothing has succeeded since, the latest few."""
+        """The machines on which the job failed most recently, and no task has succeeded since."""
         names = [machine.name for machine in self._machines_without_success(job)]
         return names[-constants.AVOID_MACHINES :]
--- a/peathall/workers/fencing.py
+++ b/peathall/workers/fencing.py
@@ -1,4 +1,4 @@
-"""The fencing token that the leader's answers and commands carry."""
+"""The fencing token that the leader's responses and commands carry."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 class FencingTokenCounter:
     """The current fencing token of a leader term.
 
-    Workers refuse commands under a token lower than the highest that they have seen. Raising the
-    token therefore invalidates start commands that are still on their way.
+    Workers refuse commands with a token lower than the highest that they have seen. Raising the
+    token therefore invalidates start commands in flight, once a worker has seen the new token.
     """
 
     def __init__(self, cluster: ClusterState) -> None:
@@ -24,7 +24,7 @@
 
     @property
     def current(self) -> int:
-        """The token of answers and commands that are sent now."""
+        """The token of responses and commands that are sent now."""
         return fencing_token(self.cluster.term, self._counter)
 
     def advance(self) -> None:
--- a/peathall/workers/heartbeats.py
+++ b/peathall/workers/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats as requests: copies, acknowledgement, confirmation, and the answer."""
+"""Heartbeat requests: duplicates, acknowledgement, confirmation, and the response."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class HeartbeatResponse(NamedTuple):
-    """The answer to a heartbeat: HTTP status and encoded body."""
+    """The response to a heartbeat: HTTP status and encoded body."""
 
     status: int
     body: dict[str, Any] | None
 
 
-# A refused heartbeat gets no answer that the worker could take for a renewal of its lease.
+# An error without a body, so that a refused heartbeat does not renew the worker's lease.
 REFUSED = HeartbeatResponse(503, None)
 
 
 class HeartbeatHandler:
-    """Answers heartbeats."""
+    """Checks and applies heartbeats, and builds the responses."""
 
     def __init__(
         self,
@@ -45,13 +45,13 @@
         self.listener = listener
 
     def handle(self, heartbeat: Heartbeat, now: float) -> HeartbeatResponse:
-        """Apply a heartbeat and answer it, which renews the lease of the worker."""
+        """Apply a heartbeat and return the response, which renews the worker's lease."""
         if self.cluster.was_deleted(heartbeat.machine):
             return REFUSED  # a delayed copy from a machine that no longer exists
         known = self.cluster.machines.get(heartbeat.machine)
         position = (heartbeat.epoch, heartbeat.sequence)
         if known is not None and (position <= known.last_received or heartbeat.epoch < known.epoch):
-            return REFUSED  # a copy, or a heartbeat of an epoch that has ended
+            return REFUSED  # a duplicate, or a heartbeat of an epoch that has ended
         machine = known or self.cluster.machine(
             heartbeat.machine, heartbeat.type, heartbeat.zone, heartbeat.spot, MachinePhase.UP, now
         )
@@ -59,7 +59,7 @@
             machine.registered_at = machine.idle_since = now
         machine.last_received = position
         self._note_acknowledgement(machine, heartbeat.fencing_token)
-        # A heartbeat that is older than a response to direct commands is answered, not applied.
+        # A heartbeat older than an applied response to direct commands gets a response only.
         if position > (machine.epoch, machine.sequence):
             self.reconciler.apply(machine, heartbeat, now, conclusive=True)
             if not machine.confirmed and heartbeat.fencing_token >= self.tokens.lowest:
@@ -73,25 +73,28 @@
         )
 
     def _note_acknowledgement(self, machine: Machine, seen_token: int) -> None:
-        """Whether the worker has received the answer to its previous heartbeat.
+        """Record whether the worker has received the response to its previous heartbeat.
 
-        If it has not, answers and commands to it may be lost altogether, so it takes no new work
-        until it shows the token of an answer again.
+        If it has not, all responses and commands to the worker may be getting lost, so its machine
+        takes no new work until a heartbeat carries the token of the latest response.
         """
         if seen_token >= machine.last_response_token:
             if machine.unacknowledged_since is not None:
-                log.info("machine %s acknowledges answers again", machine.name)
+                log.info("machine %s acknowledges heartbeat responses again", machine.name)
                 self.listener.state_changed()
             machine.unacknowledged_since = None
         elif machine.unacknowledged_since is None:
             machine.unacknowledged_since = machine.last_response_at
-            log.info("machine %s takes no new work: it did not get the last answer", machine.name)
+            log.info(
+                "machine %s takes no new work: it did not acknowledge the last heartbeat response",
+                machine.name,
+            )
 
     def _confirm(self, machine: Machine) -> None:
         machine.confirmed = True
         self.listener.machine_confirmed(machine)
         log.info(
-            "machine %s confirmed, %d tasks: it shows a fencing token of this term",
+            "machine %s confirmed with %d tasks: its heartbeat has a fencing token of this term",
             machine.name,
             len(machine.attempts),
         )
--- a/peathall/workers/image_cache.py
+++ b/peathall/workers/image_cache.py
@@ -1,7 +1,8 @@
-"""Which images each machine has cached, kept in the state service across failovers.
+"""The images that each machine has cached, stored in the state service to survive a failover.
 
-These are hints: heartbeats do not name cached images, and a new leader without the records would
-place tasks on machines that must fetch what other machines have. A wrong hint costs one fetch.
+The records are hints: heartbeats do not list cached images, and a new leader without the records
+would place tasks on machines that must fetch images that other machines have. A wrong hint costs
+one fetch.
 """
 
 from __future__ import annotations
@@ -21,17 +22,18 @@
 
 
 class ImageCacheRecords:
-    """The records of cached images. Many machines share one, so that a new image on all machines
-    costs few writes."""
+    """Reads and writes the records of cached images. Many machines share a record, so that a new
+    image on all machines costs few writes."""
 
     def __init__(self, cluster: ClusterState, writer: Writer) -> None:
         self.cluster = cluster
         self.writer = writer
-        self.limit = writer.value_limit  # bytes of a record
-        # Machine -> (image, GB) from records, until the machine is confirmed in this term.
+        self.limit = writer.value_limit  # bytes; maximum size of a record
+        # Images (name, GB) by machine, from stored records, until the machine is confirmed.
         self.loaded: dict[str, list[tuple[str, float]]] = {}
-        self.members: dict[str, dict[str, None]] = {}  # key of a record -> machines in it
-        self.record_of: dict[str, str] = {}  # machine -> key of its record
+        # Names of the machines in each record, by record key; the inner dict is an ordered set.
+        self.members: dict[str, dict[str, None]] = {}
+        self.record_of: dict[str, str] = {}  # key of the record, by machine
 
     def load(self, records: list[KeyValue]) -> None:
         """Read the records after a failover."""
@@ -43,12 +45,12 @@
                 self.record_of[name] = record.key
 
     def recall(self, machine: Machine) -> None:
-        """Restore what earlier leaders knew of the machine: it is confirmed in this term."""
+        """Restore the stored images of a machine that is now confirmed in this term."""
         for image, size in self.loaded.pop(machine.name, ()):
             machine.images.setdefault(image, size)
 
     def changed(self, machine: Machine) -> None:
-        """Write the images of the machine, as they are when the deferred write is made."""
+        """Schedule a deferred write of the machine's images, as they are when it is made."""
         key = f"{CACHE}{crc32(machine.name.encode()) % self._record_count()}"
         before = self.record_of.get(machine.name)
         if before is not None and before != key:
@@ -60,8 +62,8 @@
     def _record_count(self) -> int:
         """Number of records among which the machines are divided.
 
-        It is doubled when a machine's share would be too small: so few machines change their
-        record.
+        The number is doubled when the share of a machine would be too small, since doubling leaves
+        half of the machines in their record.
         """
         machines_per_record = max(1, self.limit // constants.CACHE_BYTES)
         count = constants.CACHE_RECORDS
@@ -82,13 +84,13 @@
         return Mutation({}, [Delete(key)]) if key in self.writer.versions else None
 
     def _images(self, name: str) -> list[list[Any]]:
-        """Image and GB, as stored, the least recently used first."""
+        """The machine's images as stored (name, GB), the least recently used first."""
         machine = self.cluster.machines.get(name)
         images = self.loaded.get(name) or (machine.images.items() if machine is not None else ())
         return [[image, round(size, 1)] for image, size in images]
 
     def forget_unknown(self) -> None:
-        """Drop machines that do not exist any more, after the cloud has listed all that do."""
+        """Drop machines that no longer exist, after the cloud provider has listed all that do."""
         for by_machine in (self.loaded, self.record_of):
             for name in [n for n in by_machine if n not in self.cluster.machines]:
                 del by_machine[name]
--- a/peathall/workers/leases.py
+++ b/peathall/workers/leases.py
@@ -1,4 +1,4 @@
-"""Expiry of the leases of workers."""
+"""Expiry of worker leases."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LeaseExpiry:
-    """Releases the attempts of machines whose lease has expired: their workers have killed them."""
+    """Releases the attempts of machines whose lease has expired: the worker has killed them."""
 
     def __init__(
         self,
@@ -28,21 +28,21 @@
         self.control = control
 
     def check(self, now: float, failover_at: float) -> None:
-        """Apply the leases that have expired.
+        """Release the attempts of machines whose lease has expired.
 
-        A lease counts from the latest answer, or from the failover: an earlier leader may have
-        answered until then.
+        A lease begins with the latest response to a heartbeat, or with the failover if that is
+        later: an earlier leader may have renewed the lease until then.
         """
         for machine in list(self.cluster.machines.values()):
-            # Known only from records of an earlier term: if it still exists, a heartbeat or the
-            # cloud's list adds it again.
+            # A machine that is known only from records of an earlier term is removed. If it still
+            # exists, a heartbeat or the cloud's list of machines adds it again.
             unproven = machine.phase is MachinePhase.RECOVERED and not machine.listed_by_cloud
             if not machine.attempts and not unproven:
                 continue
             if now - max(machine.lease_renewed_at, failover_at) <= self.lease_expiry_s:
                 continue
             log.info(
-                "machine %s not confirmed any more, %d tasks lost: its lease expired",
+                "machine %s is no longer confirmed since its lease expired: %d tasks lost",
                 machine.name,
                 len(machine.attempts),
             )
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -1,7 +1,7 @@
-"""Liveness probes of silent machines that have replicas of daemons.
+"""Liveness probes of silent machines that run replicas of daemons.
 
-A replica that is lost is missed from the first second, so these machines are not waited for as
-long as others.
+The loss of a replica matters from the first second, so these machines must be found lost sooner
+than others.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
         self._under_way: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
 
     def tick(self, now: float) -> None:
-        """Begin probes of machines that have become silent, unless many have: then the fault is
-        likely to be the network's or this controller's."""
+        """Probe machines that have become silent, unless many have: then the network or this
+        controller is more likely to be at fault."""
         silent = []
         for machine in self.health.expected():
             if not self.health.heartbeat_is_overdue(machine, now):
@@ -64,6 +64,6 @@
         return True
 
     def close(self) -> None:
-        """Cancel the probes in progress: the term is over."""
+        """Cancel the probes in progress at the end of the term."""
         for task in self._under_way.values():
             task.cancel()
--- a/peathall/workers/quarantine.py
+++ b/peathall/workers/quarantine.py
@@ -18,13 +18,13 @@
         self.listener = listener
 
     def drain(self, machine: Machine, reason: str) -> None:
-        """Let the machine take no new work; it is deleted once it is empty."""
+        """Let the machine take no new work; it is deleted once it has no tasks."""
         if machine.enter(MachinePhase.DRAINING):
             machine.drain_reason = reason
-            log.info("machine %s drains: %s", machine.name, reason)
+            log.info("machine %s is draining: %s", machine.name, reason)
             self.listener.state_changed()
 
     def drain_unhealthy(self, machines: Iterable[Machine]) -> None:
-        """Drain machines to which failures of tasks are attributed."""
+        """Drain machines that were found unhealthy by fault attribution."""
         for machine in machines:
             self.drain(machine, "it fails tasks that succeed elsewhere")
--- a/peathall/workers/reconciler.py
+++ b/peathall/workers/reconciler.py
@@ -1,4 +1,4 @@
-"""Reconciliation: comparing heartbeats with what the leader expects on the machine."""
+"""Reconciliation: compares heartbeats with the attempts that the leader expects on the machine."""
 
 from __future__ import annotations
 
@@ -50,14 +50,15 @@
         self.listener = listener
 
     def apply(self, machine: Machine, heartbeat: Heartbeat, now: float, conclusive: bool) -> None:
-        """Apply a heartbeat that is newer than all applied before.
+        """Apply a heartbeat that is newer than all heartbeats applied before.
 
-        Only a `conclusive` one proves that what it does not show is absent. The response to
-        direct commands is not conclusive: an answer with other starts may be on its way.
+        Only a `conclusive` heartbeat proves that tasks missing from it are not on the machine. The
+        response to direct commands is not conclusive: a heartbeat response with other start
+        commands may still be in flight.
         """
         if machine.phase in (MachinePhase.STARTING, MachinePhase.RECOVERED):
             log.info(
-                "machine %s (%s, %s) is up: heartbeat received",
+                "machine %s (%s, %s) is up: first heartbeat received",
                 machine.name,
                 machine.type,
                 machine.zone,
@@ -82,15 +83,16 @@
                 self._note_absent(attempt, heartbeat.fencing_token, now)
 
     def _begin_epoch(self, machine: Machine, heartbeat: Heartbeat, now: float) -> None:
-        """The lease of the worker expired: it has killed all its tasks and forgotten them.
+        """Release the attempts of earlier epochs: the worker's lease expired, so it has killed all
+        its tasks and forgotten them.
 
-        That says nothing of attempts whose epoch is not known: after a failover, a delayed copy
-        of a heartbeat of an earlier epoch may have come first.
+        Attempts of unknown epoch are kept, since they may belong to the new one: after a failover,
+        a delayed copy of a heartbeat of an earlier epoch may have arrived first.
         """
         ended = [a for a in machine.attempts.values() if 0 < a.epoch < heartbeat.epoch]
         if ended:
             log.info(
-                "machine %s begins epoch %d, %d tasks lost: its lease expired",
+                "machine %s began epoch %d after its lease expired: %d tasks lost",
                 machine.name,
                 heartbeat.epoch,
                 len(ended),
@@ -104,11 +106,11 @@
         machine.reclaimed_at = now + notice_s
         machine.drain_reason = "spot notice"
         machine.enter(MachinePhase.DRAINING)
-        log.info("machine %s drains: the cloud reclaims it in %.0f s", machine.name, notice_s)
+        log.info("machine %s is draining: the cloud reclaims it in %.0f s", machine.name, notice_s)
         self.listener.state_changed()
 
     def _reconcile_tasks(self, machine: Machine, heartbeat: Heartbeat, now: float) -> set[Attempt]:
-        """Apply the task statuses; the attempts among them that the leader expects."""
+        """Apply the task statuses. Returns the expected attempts that they report."""
         present: set[Attempt] = set()
         exits: dict[ExitKey, ExitedAttempt] = {}
         exits_before = self.exits.of(machine.name)
@@ -121,7 +123,7 @@
                     attempt = None
                 else:
                     present.add(attempt)
-                    # Statuses that say the same are the same object (see TaskStatus).
+                    # Equal statuses are the same object (see TaskStatus): nothing has changed.
                     if attempt.last_status is status:
                         continue
             if status.state is TaskState.EXITED:
@@ -135,10 +137,10 @@
             else:
                 unknown_tasks.append(status)
         self.exits.replace(machine.name, exits)
-        # Under a token of an earlier term it may be a delayed copy of an old heartbeat.
+        # A heartbeat with a token of an earlier term may be a delayed copy, which is no error.
         if unknown_tasks and heartbeat.fencing_token >= self.tokens.lowest:
             log.error(
-                "machine %s runs unknown tasks: %s",
+                "machine %s runs unknown tasks, stopping them (job, task, attempt): %s",
                 machine.name,
                 [(status.job, status.task, status.attempt) for status in unknown_tasks],
             )
@@ -168,14 +170,14 @@
             self.images.note(machine, attempt)
 
     def _note_absent(self, attempt: Attempt, seen_token: int, now: float) -> None:
-        """A conclusive heartbeat does not show this attempt."""
+        """Release an attempt missing from a conclusive heartbeat, unless it may still start."""
         if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.INTENDED):
             return  # no start command was sent
         if self.direct_starts.may_arrive(attempt, seen_token):
             return
         is_of_this_term = attempt.number >= self.tokens.lowest
         if attempt.phase is AttemptPhase.SENT and not attempt.stopping and is_of_this_term:
-            return  # the answer with the start command was lost: the next one carries it again
+            return  # the response with the start command was lost: the next one repeats it
         self.direct_starts.forget(attempt)
         self.cluster.release(attempt, now)
         self.control.note_lost([attempt], now)
--- a/peathall/workers/unknown_tasks.py
+++ b/peathall/workers/unknown_tasks.py
@@ -8,22 +8,22 @@
 
 
 class UnknownTasks:
-    """By machine, the tasks of its latest heartbeat that are no attempts of the cluster state.
+    """Tasks in the latest heartbeat of each machine that are no attempts in the cluster state.
 
-    They are stopped with every answer for as long as they are reported.
+    Every heartbeat response stops them for as long as they are reported.
     """
 
     def __init__(self) -> None:
         self._by_machine: dict[str, list[TaskStatus]] = {}
 
     def of(self, machine: str) -> Sequence[TaskStatus]:
-        """Those in the machine's latest heartbeat."""
+        """Unknown tasks in the machine's latest heartbeat."""
         return self._by_machine.get(machine, ())
 
     def replace(self, machine: str, tasks: list[TaskStatus]) -> None:
-        """Set those of a newer heartbeat."""
+        """Replace the machine's unknown tasks by those in a newer heartbeat."""
         self._by_machine[machine] = tasks
 
     def drop(self, machine: str) -> None:
-        """Forget the machine, which is gone."""
+        """Forget a machine that is gone."""
         self._by_machine.pop(machine, None)
--- a/peathall/workers/workers.py
+++ b/peathall/workers/workers.py
@@ -1,4 +1,4 @@
-"""The part of a leader that communicates with workers."""
+"""The interface of this package: how a leader communicates with workers."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
 
 
 class Workers:
-    """Wires the parts together, and is what other packages hold.
+    """Creates the parts of this package, and is their interface for other packages.
 
-    `failover_at` is the steady time from which this leader serves: until then, leases may have
-    been renewed by an earlier one.
+    `failover_at` is the monotonic time at which this leader began to serve: until then, an earlier
+    leader may have renewed worker leases.
     """
 
     def __init__(
@@ -92,44 +92,47 @@
 
     @property
     def fencing_token(self) -> int:
-        """The fencing token of answers and commands that are sent now."""
+        """The fencing token of responses and commands that are sent now."""
         return self.tokens.current
 
     def raise_fencing_token(self) -> None:
-        """Invalidate start commands on their way to workers that get a later answer first."""
+        """Raise the fencing token.
+
+        A start command in flight is then refused by a worker that receives a later response first.
+        """
         self.tokens.advance()
 
     def handle_heartbeat(self, heartbeat: Heartbeat, now: float) -> HeartbeatResponse:
-        """Apply a heartbeat and answer it."""
+        """Apply a heartbeat and return the response."""
         return self.heartbeats.handle(heartbeat, now)
 
     def stop(self, attempt: Attempt, grace_s: float, now: float) -> None:
-        """Stop an attempt, with so many seconds to checkpoint."""
+        """Stop an attempt, giving it `grace_s` seconds to save a checkpoint."""
         self.control.stop(attempt, grace_s, now)
 
     def quarantine(self, machine: Machine, reason: str) -> None:
-        """Let the machine take no new work; it is deleted once it is empty."""
+        """Drain the machine: it takes no new work, and is deleted once it is empty."""
         self._quarantine.drain(machine, reason)
 
     def reported_task_count(self, machine: Machine) -> int:
-        """Number of tasks in its next heartbeat: its attempts, and exits not yet forgotten."""
+        """Number of tasks in the machine's next heartbeat: attempts, and exits until forgotten."""
         return len(machine.attempts) + len(self.tracking.exits.of(machine.name))
 
     def commands_due(self, machine: Machine) -> dict[str, Any] | None:
-        """The encoded message with the direct commands that are due; None if there are none."""
+        """The encoded request with the direct commands that are due; None if there are none."""
         commands = self.commands.for_delivery(machine, self.loop.time())
         return encode_commands(self.fencing_token, machine.epoch, commands) if commands else None
 
     def note_command_response(self, machine: Machine, heartbeat: Heartbeat) -> None:
-        """Apply the response to direct commands, unless a newer heartbeat was applied before."""
+        """Apply the response to direct commands, unless a newer heartbeat is already applied."""
         if (heartbeat.epoch, heartbeat.sequence) > (machine.epoch, machine.sequence):
             self.reconciler.apply(machine, heartbeat, self.loop.time(), conclusive=False)
 
     def tick(self, now: float) -> None:
-        """Every second: raise the token, check health, probes, faults and leases.
+        """Raise the fencing token, and check health, probes, faults and leases; called each second.
 
-        The token that a heartbeat shows then tells which answers the worker has received, and
-        direct start commands are refused once they are a second late.
+        Because the token rises, the token in a heartbeat shows which responses the worker has
+        received, and workers refuse direct start commands that are more than a second late.
         """
         self.raise_fencing_token()
         self.health.note_tick(now)
@@ -138,13 +141,13 @@
         self.leases.check(now, self.failover_at)
 
     def machine_gone(self, machine: Machine, now: float, reason: str) -> None:
-        """The cloud's answer, or its list, proves that the machine is gone."""
+        """Remove a machine that, according to the cloud provider, is deleted or has failed."""
         self.cluster.note_deleted(machine.name, now)
         self.tracking.drop_machine(machine.name)
         self.delivery.forget(machine)
         self.control.note_lost(self.cluster.remove_machine(machine, now, reason), now)
 
     def close(self) -> None:
-        """Cancel direct commands and probes: the term is over."""
+        """Cancel direct commands and probes at the end of the term."""
         self.delivery.close()
         self.probes.close()
