--- a/peathall/workers/attempt_control.py
+++ b/peathall/workers/attempt_control.py
@@ -41,7 +41,7 @@
         if attempt.phase is not AttemptPhase.PLANNED:
             self.delivery.push(self.cluster.machines[attempt.machine])
 
-    def break_gang(self, job: Job, number: int, now: float) -> None:
+    def stop_gang(self, job: Job, number: int, now: float) -> None:
         """Stop the remaining attempts of a gang of which one has ended, without time to checkpoint:
         they cannot make progress alone."""
         if len(job.done) >= job.spec.tasks:
@@ -56,5 +56,5 @@
         for attempt in attempts:
             self.direct_starts.forget(attempt)
             if attempt.job.spec.gang:
-                self.break_gang(attempt.job, attempt.number, now)
+                self.stop_gang(attempt.job, attempt.number, now)
         self.listener.state_changed()
--- a/peathall/workers/exit_handler.py
+++ b/peathall/workers/exit_handler.py
@@ -22,7 +22,7 @@
 
 # A start was rejected since the worker's state differs from the leader's view. The next heartbeats
 # correct that view, so the start is retried after a backoff.
-STATE_MISMATCH = (ExitReason.NO_CAPACITY, ExitReason.BUSY, ExitReason.UNKNOWN)
+STATE_MISMATCH_REASONS = (ExitReason.NO_CAPACITY, ExitReason.BUSY, ExitReason.UNKNOWN)
 
 
 class ExitHandler:
@@ -111,7 +111,7 @@
             )
         if reason is ExitReason.ERROR or (reason is ExitReason.DONE and job.spec.daemon):
             self.quarantine.drain_unhealthy(self.faults.note_failure(attempt, runtime_s, now))
-        elif reason in STATE_MISMATCH:
+        elif reason in STATE_MISMATCH_REASONS:
             job.backoff_until = max(job.backoff_until, now + constants.ERROR_BACKOFF_S)
         if job.spec.gang and reason is not ExitReason.DONE:
-            self.control.break_gang(job, number, now)
+            self.control.stop_gang(job, number, now)
--- a/peathall/workers/failing_jobs.py
+++ b/peathall/workers/failing_jobs.py
@@ -42,7 +42,7 @@
     def _mutation(self) -> Mutation:
         jobs = [
             [job.spec.id, job.consecutive_failures]
-            for job in self.faults.watched.values()
+            for job in self.faults.jobs_with_failures.values()
             if job.health is JobHealth.FAILING and self.cluster.jobs.get(job.spec.id) is job
         ]
         limit = min(
--- a/peathall/workers/faults.py
+++ b/peathall/workers/faults.py
@@ -32,7 +32,7 @@
         self.cluster = cluster
         # Called when a job becomes failing or stops being so.
         self.on_failing_jobs_changed: Callable[[], None] = lambda: None
-        self.watched: dict[str, Job] = {}  # jobs that failed and have not succeeded since
+        self.jobs_with_failures: dict[str, Job] = {}  # by id; they have not succeeded since
 
     def note_failure(self, attempt: Attempt, runtime_s: float, now: float) -> list[Machine]:
         """Record a failed task that ran for `runtime_s`. Returns the machines found unhealthy."""
@@ -60,7 +60,7 @@
         job.failed_on.pop(machine.name, None)  # moves the latest failure to the end
         job.failed_on[machine.name] = now
         job.longest_failed_run_s = max(job.longest_failed_run_s, runtime_s)
-        self.watched[job.spec.id] = job
+        self.jobs_with_failures[job.spec.id] = job
         if number != job.last_failed_attempt:
             # Tasks that were started together share an attempt number: they count as one failure.
             job.last_failed_attempt = number
@@ -82,7 +82,7 @@
         """Mark the job as failing, with this number of starts that failed in a row."""
         job.set_health(JobHealth.FAILING)
         job.consecutive_failures = consecutive_failures
-        self.watched[job.spec.id] = job
+        self.jobs_with_failures[job.spec.id] = job
 
     def note_success(self, job: Job, machine: Machine, now: float) -> list[Machine]:
         """Record a success of the job on the machine. Returns the machines found unhealthy."""
@@ -94,7 +94,7 @@
     def _mark_healthy(self, job: Job) -> list[Machine]:
         was_failing = job.health is JobHealth.FAILING
         job.set_health(JobHealth.HEALTHY)
-        if self.watched.pop(job.spec.id, None) is None:
+        if self.jobs_with_failures.pop(job.spec.id, None) is None:
             return []
         if was_failing:
             self.on_failing_jobs_changed()
@@ -121,9 +121,9 @@
         """Mark jobs as healthy of which a task has run much longer than the failed tasks; called
         every second. Returns the machines found unhealthy as a result."""
         unhealthy: list[Machine] = []
-        for job in list(self.watched.values()):
+        for job in list(self.jobs_with_failures.values()):
             if self.cluster.jobs.get(job.spec.id) is not job:
-                del self.watched[job.spec.id]
+                del self.jobs_with_failures[job.spec.id]
                 continue
             enough_s = max(constants.SUCCESS_RUNTIME_S, 2 * job.longest_failed_run_s)
             for attempt in job.attempts.values():
--- a/peathall/workers/image_cache.py
+++ b/peathall/workers/image_cache.py
@@ -30,33 +30,33 @@
         self.writer = writer
         self.limit = writer.value_limit  # bytes; maximum size of a record
         # Images (name, GB) by machine, from stored records, until the machine is confirmed.
-        self.loaded: dict[str, list[tuple[str, float]]] = {}
+        self.loaded_images: dict[str, list[tuple[str, float]]] = {}
         # Names of the machines in each record, by record key; the inner dict is an ordered set.
-        self.members: dict[str, dict[str, None]] = {}
-        self.record_of: dict[str, str] = {}  # key of the record, by machine
+        self.machines_by_record: dict[str, dict[str, None]] = {}
+        self.record_by_machine: dict[str, str] = {}  # key of the record, by machine
 
     def load(self, records: list[KeyValue]) -> None:
         """Read the records after a failover."""
         for record in records:
             self.writer.versions[record.key] = record.version
             for name, images in record.value["machines"].items():
-                self.loaded[name] = images
-                self.members.setdefault(record.key, {})[name] = None
-                self.record_of[name] = record.key
+                self.loaded_images[name] = images
+                self.machines_by_record.setdefault(record.key, {})[name] = None
+                self.record_by_machine[name] = record.key
 
     def recall(self, machine: Machine) -> None:
         """Restore the stored images of a machine that is now confirmed in this term."""
-        for image, size in self.loaded.pop(machine.name, ()):
+        for image, size in self.loaded_images.pop(machine.name, ()):
             machine.images.setdefault(image, size)
 
     def changed(self, machine: Machine) -> None:
         """Schedule a deferred write of the machine's images, as they are when it is made."""
         key = f"{CACHE}{crc32(machine.name.encode()) % self._record_count()}"
-        before = self.record_of.get(machine.name)
+        before = self.record_by_machine.get(machine.name)
         if before is not None and before != key:
-            self.members[before].pop(machine.name, None)
-        self.record_of[machine.name] = key
-        self.members.setdefault(key, {})[machine.name] = None
+            self.machines_by_record[before].pop(machine.name, None)
+        self.record_by_machine[machine.name] = key
+        self.machines_by_record.setdefault(key, {})[machine.name] = None
         self.writer.defer(key, lambda: self._mutation(key))
 
     def _record_count(self) -> int:
@@ -72,9 +72,9 @@
         return count
 
     def _mutation(self, key: str) -> Mutation | None:
-        members = {name: self._images(name) for name in self.members[key]}
-        record = {name: images for name, images in members.items() if images}
-        self.members[key] = dict.fromkeys(record)
+        images_by_machine = {name: self._images(name) for name in self.machines_by_record[key]}
+        record = {name: images for name, images in images_by_machine.items() if images}
+        self.machines_by_record[key] = dict.fromkeys(record)
         share = self.limit // max(1, len(record))
         for name, images in record.items():
             while json_size(images) + len(name) + 4 > share:
@@ -86,11 +86,13 @@
     def _images(self, name: str) -> list[list[Any]]:
         """The machine's images as stored (name, GB), the least recently used first."""
         machine = self.cluster.machines.get(name)
-        images = self.loaded.get(name) or (machine.images.items() if machine is not None else ())
+        images = self.loaded_images.get(name) or (
+            machine.images.items() if machine is not None else ()
+        )
         return [[image, round(size, 1)] for image, size in images]
 
     def forget_unknown(self) -> None:
         """Drop machines that no longer exist, after the cloud provider has listed all that do."""
-        for by_machine in (self.loaded, self.record_of):
+        for by_machine in (self.loaded_images, self.record_by_machine):
             for name in [n for n in by_machine if n not in self.cluster.machines]:
                 del by_machine[name]
--- a/peathall/workers/leases.py
+++ b/peathall/workers/leases.py
@@ -36,8 +36,8 @@
         for machine in list(self.cluster.machines.values()):
             # A machine that is known only from records of an earlier term is removed. If it still
             # exists, a heartbeat or the cloud's list of machines adds it again.
-            unproven = machine.phase is MachinePhase.RECOVERED and not machine.listed_by_cloud
-            if not machine.attempts and not unproven:
+            may_be_gone = machine.phase is MachinePhase.RECOVERED and not machine.listed_by_cloud
+            if not machine.attempts and not may_be_gone:
                 continue
             if now - max(machine.lease_renewed_at, failover_at) <= self.lease_expiry_s:
                 continue
@@ -49,5 +49,5 @@
             machine.confirmed = False
             self.control.note_lost(self.cluster.release_all(machine, now), now)
             self.exits.drop(machine.name)
-            if unproven:
+            if may_be_gone:
                 self.cluster.remove_machine(machine, now, "no heartbeat since the failover")
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -26,7 +26,7 @@
     def __init__(self, health: MachineHealth, is_leader: Callable[[], bool]) -> None:
         self.health = health
         self.is_leader = is_leader
-        self._under_way: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
+        self._in_flight: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
 
     def tick(self, now: float) -> None:
         """Probe machines that have become silent, unless many have: then the network or this
@@ -41,8 +41,8 @@
             return
         for machine in silent:
             is_probed = machine.failed_probes >= constants.PROBE_TRIES
-            if not is_probed and machine.name not in self._under_way:
-                self._under_way[machine.name] = asyncio.create_task(self._probe(machine))
+            if not is_probed and machine.name not in self._in_flight:
+                self._in_flight[machine.name] = asyncio.create_task(self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
         client = HttpClient(machine.addr, keep=0, may_send=self.is_leader)
@@ -53,7 +53,7 @@
                     return
                 machine.failed_probes += 1
         finally:
-            del self._under_way[machine.name]
+            del self._in_flight[machine.name]
 
     @staticmethod
     async def _answers(client: HttpClient) -> bool:
@@ -65,5 +65,5 @@
 
     def close(self) -> None:
         """Cancel the probes in progress at the end of the term."""
-        for task in self._under_way.values():
+        for task in self._in_flight.values():
             task.cancel()
