--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -97,7 +97,7 @@
     def note_deleted(self, name: str, now: float) -> None:
         """Remember a deletion for as long as delayed copies of heartbeats may arrive."""
         self._deleted[name] = now
-        while now - next(iter(self._deleted.values())) > constants.DELETED_MEMORY_S:
+        while now - next(iter(self._deleted.values())) > constants.DELETED_MACHINE_MEMORY_S:
             self._deleted.popitem(last=False)
 
     def allocate(
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -67,8 +67,9 @@
 LEASE_EXPIRY_MARGIN_S = 1.0  # added to lease and clock drift, for late timers of this process
 TICK_S = 1.0  # between checks of leases; capacity of an expired lease is freed at most so late
 # Heartbeat intervals without a heartbeat after which a machine takes no new work.
-SUSPECT_HEARTBEATS = 3.0
-SUSPECT_LEASE = 0.5  # of the worker's lease, if that is less: a site may set long intervals
+UNSCHEDULABLE_HEARTBEATS = 3.0
+# Of the worker's lease, if that is less: a site may set long heartbeat intervals.
+UNSCHEDULABLE_LEASE_SHARE = 0.5
 STALL_S = 3.0  # a longer time between ticks means that this process was stalled
 # Heartbeat intervals of silence after which a machine with replicas has missed a heartbeat and is
 # probed; the intervals vary by a quarter.
@@ -84,7 +85,8 @@
 # Heartbeat intervals without a heartbeat after which a machine is deleted: that releases its tasks
 # before the worker's lease expires.
 LOST_HEARTBEATS = 5.0
-LOST_LEASE = 0.6  # of the worker's lease, if that is less: a later deletion would gain no time
+# Of the worker's lease, if that is less: a later deletion would gain no time.
+LOST_LEASE_SHARE = 0.6
 # Share of the machines, unable to reach this leader or to receive its responses, above which it
 # resigns.
 UNREACHABLE_SHARE = 0.5
@@ -106,22 +108,25 @@
 CHECKPOINT_GRACE_S = 3.0  # added to the time that a job states for a checkpoint
 # Minimum number of records for the machines' image caches: new images on hundreds of machines at
 # once cost no more writes than there are records.
-CACHE_RECORDS = 64
+IMAGE_CACHE_RECORDS = 64
 # Minimum bytes for one machine's entry in such a record: its name and about four images.
-CACHE_BYTES = 130
-FORGET_CACHES_S = 60.0  # after failover; by then each live machine sent a heartbeat or is listed
+IMAGE_CACHE_ENTRY_BYTES = 130
+# After failover; by then each live machine has sent a heartbeat or is listed.
+FORGET_IMAGE_CACHES_S = 60.0
 # Most tasks in one heartbeat, including exited tasks, and most commands in one response. Each takes
 # about 80 bytes of the protocol's 64 KiB, and a machine whose heartbeats are too large is lost.
-MACHINE_TASKS = 600
+MACHINE_TASKS_MAX = 600
 # Age at which a decoded task status that no heartbeat repeats is dropped from the cache, so that
 # the cache holds current statuses only. Each takes some 700 bytes.
 TASK_STATUS_CACHE_S = 30.0
-DELETED_MEMORY_S = 1800.0  # copies of a deleted machine's heartbeats may arrive minutes late
+# Copies of a deleted machine's heartbeats may arrive minutes late.
+DELETED_MACHINE_MEMORY_S = 1800.0
 # Direct commands per second and CPU core, at most, that could wait for their machine's next
 # heartbeat. Each costs the leader about as much as a heartbeat.
-DEFERRABLE_COMMANDS = 40.0
-GC_OBJECTS = 20_000  # allocations between runs of the cycle collector: asyncio makes few cycles
-DIRECT_TIMEOUT_S = 2.0  # then the response to the next heartbeat repeats the command
+DEFERRABLE_COMMANDS_PER_S = 40.0
+# Allocations between runs of the cycle collector: asyncio makes few cycles.
+GC_THRESHOLD_OBJECTS = 20_000
+DIRECT_COMMAND_TIMEOUT_S = 2.0  # then the response to the next heartbeat repeats the command
 
 # --- placement ----------------------------------------------------------------------------------
 ROUND_GAP_S = 0.2  # least distance of two rounds: what arrives together is decided together
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -141,7 +141,7 @@
     async def run(self) -> None:
         """Serve until cancelled. OSError if an address can't be listened on."""
         self.assemble()
-        gc.set_threshold(constants.GC_OBJECTS)
+        gc.set_threshold(constants.GC_THRESHOLD_OBJECTS)
         gc.freeze()  # objects made at the start stay: later collections need not look at them
         await self.peer_listener.start(*split_addr(self.settings.peer_listen))
         await self.public_listener.start(*split_addr(self.settings.listen))
--- a/peathall/leader/term.py
+++ b/peathall/leader/term.py
@@ -136,7 +136,7 @@
         slices.cells.tick(self._loop.time())
         self.workers.tick(self._loop.time())
         self.placement.rounds.compact(self._loop.time())
-        if self._loop.time() - self.workers.failover_at > constants.FORGET_CACHES_S:
+        if self._loop.time() - self.workers.failover_at > constants.FORGET_IMAGE_CACHES_S:
             slices.image_caches.forget_unknown()
         for job in list(self.cluster.jobs.values()):
             self.jobs.review(job)
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -84,7 +84,7 @@
             listener=self.events,
             limits=DeliveryLimits(
                 connections=max(1, int(limits.fd_limit * constants.DIRECT_COMMAND_SOCKET_SHARE)),
-                deferrable_per_s=constants.DEFERRABLE_COMMANDS * min(1.0, limits.cpu_share),
+                deferrable_per_s=constants.DEFERRABLE_COMMANDS_PER_S * min(1.0, limits.cpu_share),
             ),
             elsewhere=self._context.heartbeats_elsewhere,
         )
--- a/peathall/placement/machine_views.py
+++ b/peathall/placement/machine_views.py
@@ -79,7 +79,7 @@
             machine.images,
             int(silent_s / self.heartbeat_s),
             lambda: self._detail(machine),
-            max(0, constants.MACHINE_TASKS - self.workers.reported_task_count(machine)),
+            max(0, constants.MACHINE_TASKS_MAX - self.workers.reported_task_count(machine)),
             machine.replicas,
         )
 
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -131,7 +131,7 @@
         images: Container[str] = (),
         missed_intervals: int = 0,
         load_detail: Callable[[], MachineDetail] = MachineDetail,
-        task_slots: int = constants.MACHINE_TASKS,
+        task_slots: int = constants.MACHINE_TASKS_MAX,
         replicas: int = 0,
     ) -> None:
         self.name = name
--- a/peathall/workers/commands.py
+++ b/peathall/workers/commands.py
@@ -26,7 +26,7 @@
     def for_response(self, machine: Machine, now: float) -> list[Command]:
         """Commands for the response to a heartbeat."""
         commands = self._attempt_commands(machine, now, direct=False)
-        commands += self._forget_commands(machine, constants.MACHINE_TASKS - len(commands))
+        commands += self._forget_commands(machine, constants.MACHINE_TASKS_MAX - len(commands))
         for status in self.unknown_tasks.of(machine.name):
             commands.append(StopCommand(status.job, status.task, status.attempt, 0.0))
         return commands
@@ -44,7 +44,7 @@
         for (job_id, task), attempt in machine.attempts.items():
             if attempt.phase is running and not attempt.stopping:
                 continue  # the most frequent case
-            if len(commands) >= constants.MACHINE_TASKS:
+            if len(commands) >= constants.MACHINE_TASKS_MAX:
                 break  # the next response carries the others
             if attempt.phase in (AttemptPhase.PLANNED, AttemptPhase.GONE):
                 continue
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -34,7 +34,8 @@
     """Limits on direct commands."""
 
     connections: int  # maximum number open at once
-    deferrable_per_s: float = constants.DEFERRABLE_COMMANDS  # beyond this, deferrable commands wait
+    # Deferrable commands beyond this rate wait.
+    deferrable_per_s: float = constants.DEFERRABLE_COMMANDS_PER_S
 
 
 class CommandDelivery:
@@ -87,7 +88,7 @@
         if message is None or not self.is_leader():
             return
         status, raw = await self._client(machine.addr).request(
-            "POST", COMMANDS_PATH, codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
+            "POST", COMMANDS_PATH, codec.cbor_bytes(message), constants.DIRECT_COMMAND_TIMEOUT_S
         )
         if status != 200:
             log.info(
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -88,8 +88,8 @@
     def unschedulable_after_s(self) -> float:
         """Seconds of silence after which a machine takes no new work."""
         return min(
-            constants.SUSPECT_HEARTBEATS * self.settings.report_s,
-            constants.SUSPECT_LEASE * self.settings.lease_s,
+            constants.UNSCHEDULABLE_HEARTBEATS * self.settings.report_s,
+            constants.UNSCHEDULABLE_LEASE_SHARE * self.settings.lease_s,
         )
 
     def lost_after_s(self) -> float:
@@ -97,7 +97,7 @@
         the worker's lease expires."""
         return min(
             constants.LOST_HEARTBEATS * self.settings.report_s,
-            constants.LOST_LEASE * self.settings.lease_s,
+            constants.LOST_LEASE_SHARE * self.settings.lease_s,
         )
 
     def unreachable_after_s(self) -> float:
--- a/peathall/workers/image_cache.py
+++ b/peathall/workers/image_cache.py
@@ -65,8 +65,8 @@
         The number is doubled when the share of a machine would be too small, since doubling leaves
         half of the machines in their record.
         """
-        machines_per_record = max(1, self.limit // constants.CACHE_BYTES)
-        count = constants.CACHE_RECORDS
+        machines_per_record = max(1, self.limit // constants.IMAGE_CACHE_ENTRY_BYTES)
+        count = constants.IMAGE_CACHE_RECORDS
         while count * machines_per_record < len(self.cluster.machines):
             count *= 2
         return count
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -280,12 +280,12 @@
 def test_deferrable_commands_are_sent_directly_only_within_their_rate_limit() -> None:
     def test(workers: Workers) -> None:
         machines = []
-        for number in range(3 * int(constants.DEFERRABLE_COMMANDS)):
+        for number in range(3 * int(constants.DEFERRABLE_COMMANDS_PER_S)):
             workers.handle_heartbeat(report(1, 1, 0, machine=f"m-{number}"), 1.0)
             machines.append(workers.cluster.machines[f"m-{number}"])
         for machine in machines:
             workers.delivery.push(machine, deferrable=True)
-        assert len(workers.delivery.under_way) == constants.DEFERRABLE_COMMANDS
+        assert len(workers.delivery.under_way) == constants.DEFERRABLE_COMMANDS_PER_S
         for machine in machines:
             workers.delivery.push(machine)
         assert len(workers.delivery.under_way) == len(machines)
@@ -362,7 +362,7 @@
                 machine.images[f"img-{image:02d}"] = 1.0 + image / 7
             caches.changed(machine)
         records = [make() for make in writer.deferred.makers.values()]
-        assert len(records) == constants.CACHE_RECORDS
+        assert len(records) == constants.IMAGE_CACHE_RECORDS
         later = ImageCacheRecords(
             workers.cluster, Writer(None, store, lead(), lambda: True, lambda: None)
         )  # type: ignore[arg-type]
@@ -390,9 +390,9 @@
         machine = workers.cluster.machines["m-1"]
         job = workers.cluster.jobs["j-123456"] = Job(spec(id="j-123456", tasks=9999, cpus=0.001))
         view = MachineView("m-1", "g", "a", False, (8.0, 0.0, 16.0), (8.0, 0.0, 16.0))
-        assert view.fits(spec(tasks=9999, cpus=0.001, ram=0.0)) == constants.MACHINE_TASKS
+        assert view.fits(spec(tasks=9999, cpus=0.001, ram=0.0)) == constants.MACHINE_TASKS_MAX
         number = workers.cluster.new_attempt_number()
-        for task in range(9000, 9000 + constants.MACHINE_TASKS + 50):
+        for task in range(9000, 9000 + constants.MACHINE_TASKS_MAX + 50):
             workers.cluster.allocate(job, task, number, machine, "r").enter(
                 AttemptPhase.INTENDED, 6.0
             )
@@ -410,8 +410,8 @@
             assert answer is not None
             assert json_size(answer) < 60 * 1024
             commands += answer["writs"]
-        assert len({x["parcel"] for x in commands}) == constants.MACHINE_TASKS + 50
-        assert workers.reported_task_count(machine) == constants.MACHINE_TASKS + 50
+        assert len({x["parcel"] for x in commands}) == constants.MACHINE_TASKS_MAX + 50
+        assert workers.reported_task_count(machine) == constants.MACHINE_TASKS_MAX + 50
 
     asyncio.run(run())
 
