--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -79,8 +79,8 @@
 # Heartbeat intervals within which most machines must have sent a heartbeat. Otherwise this
 # controller may itself be partitioned, and neither begins probes nor uses their results.
 PROBE_RECENT_HEARTBEATS = 1.3
-# Share of the machines that must have done so: a partitioned zone usually has more machines than
-# the rest.
+# Share of the machines that counts as most of them: a partitioned zone usually has more than the
+# rest.
 PROBE_MIN_LIVE_SHARE = 0.7
 # Heartbeat intervals without a heartbeat after which a machine is deleted: that releases its tasks
 # before the worker's lease expires.
@@ -96,13 +96,13 @@
 # Live share from which a machine is deleted that sends heartbeats only to other controllers.
 CERTAIN_LIVE_SHARE = 0.8
 HEARTBEAT_HOLD_S = 1.5  # longest wait of a heartbeat for a leader in recovery; the worker waits 4 s
-UNHEALTHY_FAILED_JOBS = 3  # that fail in a row on a machine before it is quarantined
+UNHEALTHY_FAILED_JOBS = 3  # different jobs that fail in a row on a machine: it is quarantined
 FAILING_JOB_MACHINES = 2  # machines on which a job that never succeeded fails: it counts as failing
 WIDESPREAD_FAILURE_MACHINES = 3  # the same for a job that has succeeded before
 FAILING_JOBS_KEPT = 200  # entries in the record of failing jobs, which a new leader reads
 FAILING_JOB_BYTES = 48  # of one entry; a job id has up to 32
 SUCCESS_RUNTIME_S = 5.0  # running longer counts as success: a faulty task fails early
-AVOID_MACHINES = 3  # most machines that a job avoids since it failed there
+AVOID_MACHINES = 3  # machines with the latest failures of a job, which the job avoids
 ERROR_BACKOFF_S = 2.0  # doubled with each consecutive failed start of a failing job
 ERROR_BACKOFF_MAX_S = 60.0  # a failing job is retried until its user cancels it
 CHECKPOINT_GRACE_S = 3.0  # added to the time that a job states for a checkpoint
