--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -53,7 +53,7 @@
         self._health.note_tick(now)
         self._startup_times.update()
         live_share = self._health.live_share(now)
-        heard_elsewhere = self._health.heartbeats_elsewhere()
+        heard_elsewhere = self._health.heard_elsewhere()
         chosen = []
         for machine in self._cluster.machines.values():
             reason = self._reason(machine, now, live_share, heard_elsewhere)
--- a/peathall/leader/events.py
+++ b/peathall/leader/events.py
@@ -56,11 +56,11 @@
 
     def images_changed(self, machine: Machine) -> None:
         """The machine has cached another image."""
-        self._slices.image_caches.changed(machine)
+        self._slices.image_caches.schedule_write(machine)
 
     def machine_confirmed(self, machine: Machine) -> None:
         """The machine has sent its first heartbeat with this term's fencing token."""
-        self._slices.image_caches.recall(machine)
+        self._slices.image_caches.restore(machine)
 
     def spot_notice_received(self, machine: Machine, now: float) -> None:
         """The cloud has announced that it takes the spot machine back."""
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -17,7 +17,7 @@
 from peathall.store.client import StoreClient
 from peathall.store.errors import StoreError
 from peathall.workers.failing_jobs import FAILING_JOBS_KEY
-from peathall.workers.image_cache import CACHE
+from peathall.workers.image_cache import IMAGE_CACHE_PREFIX
 
 log = logging.getLogger("peathall.leader")
 
@@ -64,7 +64,7 @@
         live, live_revision = await self._store.scan(records.LIVE)
         done, _ = await self._store.scan(records.DONE)
         rounds, _ = await self._store.scan(ROUND)
-        image_caches, _ = await self._store.scan(CACHE)
+        image_caches, _ = await self._store.scan(IMAGE_CACHE_PREFIX)
         failing_jobs = await self._store.get(FAILING_JOBS_KEY)
         pending_deletions = await self._slices.duties.pending_deletions()
         cells = await self._slices.cells.read_records(self._store)
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -86,7 +86,7 @@
                 connections=max(1, int(limits.fd_limit * constants.DIRECT_COMMAND_SOCKET_SHARE)),
                 deferrable_per_s=constants.DEFERRABLE_COMMANDS_PER_S * min(1.0, limits.cpu_share),
             ),
-            elsewhere=self._context.heartbeats_elsewhere,
+            heartbeats_elsewhere=self._context.heartbeats_elsewhere,
         )
 
     def _make_jobs(self) -> Jobs:
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -52,7 +52,8 @@
         self.is_leader = is_leader
         self.loop = asyncio.get_running_loop()
         self.connections = connections
-        self.under_way: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
+        # By machine; cancelled by close().
+        self.requests_in_flight: dict[str, asyncio.Task[None]] = {}
         self.deferrable = TokenBucket(rate)
         self._connection_slots = asyncio.Semaphore(connections)
         # By worker address, the least recently used first.
@@ -66,8 +67,8 @@
         """
         if deferrable and self.deferrable.wait(1, self.loop.time()) > 0:
             return
-        if machine.addr and machine.name not in self.under_way and self.is_leader():
-            self.under_way[machine.name] = self.loop.create_task(self._deliver(machine))
+        if machine.addr and machine.name not in self.requests_in_flight and self.is_leader():
+            self.requests_in_flight[machine.name] = self.loop.create_task(self._deliver(machine))
 
     async def _deliver(self, machine: Machine) -> None:
         try:
@@ -81,7 +82,7 @@
                 exc,
             )
         finally:
-            del self.under_way[machine.name]
+            del self.requests_in_flight[machine.name]
 
     async def _deliver_now(self, machine: Machine) -> None:
         message = self.source.commands_due(machine)
@@ -124,7 +125,7 @@
 
     def close(self) -> None:
         """Cancel the requests in flight, and close all connections."""
-        for task in self.under_way.values():
+        for task in self.requests_in_flight.values():
             task.cancel()
         for client in self._clients.values():
             client.close()
--- a/peathall/workers/failing_jobs.py
+++ b/peathall/workers/failing_jobs.py
@@ -23,7 +23,7 @@
         self.cluster = cluster
         self.faults = faults
         self.writer = writer
-        faults.on_failing_jobs_changed = self.changed
+        faults.on_failing_jobs_changed = self.schedule_write
 
     def load(self, record: KeyValue | None) -> None:
         """Read the record after a failover, and mark its jobs as failing."""
@@ -35,7 +35,7 @@
             if job is not None and not job.done:
                 self.faults.mark_failing(job, consecutive_failures)
 
-    def changed(self) -> None:
+    def schedule_write(self) -> None:
         """Schedule a deferred write of the record: the set of failing jobs has changed."""
         self.writer.defer(FAILING_JOBS_KEY, self._mutation)
 
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -28,11 +28,11 @@
         cluster: ClusterState,
         settings: WorkerSettings,
         now: float,
-        elsewhere: HeartbeatsElsewhere = dict,
+        heartbeats_elsewhere: HeartbeatsElsewhere = dict,
     ) -> None:
         self.cluster = cluster
         self.settings = settings
-        self.elsewhere = elsewhere
+        self.heartbeats_elsewhere = heartbeats_elsewhere
         self.last_tick = now
         # Time since which this process has handled heartbeats without a gap; see note_tick().
         self.active_since = now
@@ -68,7 +68,7 @@
         """Whether most machines send heartbeats, so that the fault probably lies with the silent
         machines rather than with the network or this controller."""
         limit = constants.PROBE_RECENT_HEARTBEATS * self.settings.report_s
-        up = self.expected()
+        up = self.expected_machines()
         heard = [
             m for m in up if m.unacknowledged_since is None and self.silence_s(m, now) <= limit
         ]
@@ -77,7 +77,7 @@
     def live_share(self, now: float) -> float:
         """Share of the machines that recently sent a heartbeat and acknowledge the responses."""
         limit = self.unschedulable_after_s()
-        up = self.expected()
+        up = self.expected_machines()
         heard = [
             m
             for m in up
@@ -104,15 +104,15 @@
         """Seconds of silence that are two missed heartbeats: the machine counts as unreachable."""
         return 2 * self.settings.report_s + constants.TICK_S
 
-    def heartbeats_elsewhere(self) -> Callable[[Machine], bool]:
+    def heard_elsewhere(self) -> Callable[[Machine], bool]:
         """A predicate: whether a machine recently sent another controller a heartbeat that is newer
         than all heartbeats that this leader received. A delayed copy of an older heartbeat does
         not prove that the machine is alive.
         """
-        elsewhere = self.elsewhere()
-        return lambda machine: elsewhere.get(machine.name, NO_HEARTBEAT) > machine.last_received
+        latest = self.heartbeats_elsewhere()
+        return lambda machine: latest.get(machine.name, NO_HEARTBEAT) > machine.last_received
 
-    def expected(self) -> list[Machine]:
+    def expected_machines(self) -> list[Machine]:
         """Machines that should send heartbeats, including those known only from stored records."""
         phases = (MachinePhase.UP, MachinePhase.RECOVERED)
         return [m for m in self.cluster.machines.values() if m.phase in phases]
@@ -122,10 +122,10 @@
         silent or do not acknowledge its responses, and some of these send heartbeats to other
         controllers."""
         self.note_tick(now)
-        up, limit = self.expected(), self.unreachable_after_s()
+        up, limit = self.expected_machines(), self.unreachable_after_s()
         unreached = [
             m for m in up if m.unacknowledged_since is not None or self.silence_s(m, now) > limit
         ]
         return len(unreached) > constants.UNREACHABLE_SHARE * len(up) and any(
-            map(self.heartbeats_elsewhere(), unreached)
+            map(self.heard_elsewhere(), unreached)
         )
--- a/peathall/workers/image_cache.py
+++ b/peathall/workers/image_cache.py
@@ -18,7 +18,7 @@
 from peathall.store.mutation import Mutation
 from peathall.store.writer import Writer
 
-CACHE = "cache/"
+IMAGE_CACHE_PREFIX = "cache/"
 
 
 class ImageCacheRecords:
@@ -44,14 +44,14 @@
                 self.machines_by_record.setdefault(record.key, {})[name] = None
                 self.record_by_machine[name] = record.key
 
-    def recall(self, machine: Machine) -> None:
+    def restore(self, machine: Machine) -> None:
         """Restore the stored images of a machine that is now confirmed in this term."""
         for image, size in self.loaded_images.pop(machine.name, ()):
             machine.images.setdefault(image, size)
 
-    def changed(self, machine: Machine) -> None:
+    def schedule_write(self, machine: Machine) -> None:
         """Schedule a deferred write of the machine's images, as they are when it is made."""
-        key = f"{CACHE}{crc32(machine.name.encode()) % self._record_count()}"
+        key = f"{IMAGE_CACHE_PREFIX}{crc32(machine.name.encode()) % self._record_count()}"
         before = self.record_by_machine.get(machine.name)
         if before is not None and before != key:
             self.machines_by_record[before].pop(machine.name, None)
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -32,7 +32,7 @@
         """Probe machines that have become silent, unless many have: then the network or this
         controller is more likely to be at fault."""
         silent = []
-        for machine in self.health.expected():
+        for machine in self.health.expected_machines():
             if not self.health.heartbeat_is_overdue(machine, now):
                 machine.failed_probes = 0
             elif machine.replicas and machine.phase is MachinePhase.UP and machine.addr:
--- a/peathall/workers/workers.py
+++ b/peathall/workers/workers.py
@@ -46,7 +46,7 @@
         is_leader: Callable[[], bool],
         listener: WorkerListener,
         limits: DeliveryLimits,
-        elsewhere: HeartbeatsElsewhere = dict,
+        heartbeats_elsewhere: HeartbeatsElsewhere = dict,
     ) -> None:
         self.cluster = cluster
         self.settings = settings
@@ -55,7 +55,7 @@
         self.loop = asyncio.get_running_loop()
         self.tokens = FencingTokenCounter(cluster)
         self.faults = FaultTracker(cluster)
-        self.health = MachineHealth(cluster, settings, now, elsewhere)
+        self.health = MachineHealth(cluster, settings, now, heartbeats_elsewhere)
         self.probes = LivenessProbes(self.health, is_leader)
         self.tracking = AttemptTracking(ExitedAttempts(cluster), UnknownTasks(), DirectStarts())
         self.commands = DueCommands(self.tokens, self.tracking)
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -55,7 +55,7 @@
             machine = cluster.machine(f"m-{number:06d}", "g", "a", False, MachinePhase.UP, 0.0)
             for image in range(6):
                 machine.images[f"img-{image:02d}"] = 7.5
-            caches.changed(machine)
+            caches.schedule_write(machine)
         records = [make() for make in writer.deferred.makers.values()]
         values = [op.value for change in records if change for op in change.ops
                   if isinstance(op, Put)]  # fmt: skip
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -127,7 +127,7 @@
         silent.failed_probes = 2
         assert deleted(autoscaler, LAST + 9.0) == []
         await pass_time(workers, LAST + 9.0)
-        workers.health.elsewhere = lambda: {"m-1": (1, 99)}
+        workers.health.heartbeats_elsewhere = lambda: {"m-1": (1, 99)}
         assert deleted(autoscaler, LAST + 9.0) == []
 
     play(test)
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -732,7 +732,7 @@
         machine.addr = "10.1.0.232:9000"
         sender = delivery.CommandDelivery(source, lambda: True, 2, 1.0)
         sender.push(machine)
-        await asyncio.gather(*sender.under_way.values())
+        await asyncio.gather(*sender.requests_in_flight.values())
 
     run(play)
     http.check(("POST", "/commands", {"mandate": 41, "tenure": 1, "writs": [START, STOP, FORGET]}))
@@ -747,7 +747,7 @@
         machine = Machine("m-000231", "g8", "a", True, MachinePhase.UP)
         machine.addr, machine.replicas = "10.1.0.232:9000", 1
         health: Any = MagicMock()
-        health.expected.return_value = [machine]
+        health.expected_machines.return_value = [machine]
         probes.LivenessProbes(health, lambda: True).tick(0.0)
         for _ in range(5):
             await asyncio.sleep(0)
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -515,12 +515,12 @@
         async with leading(store) as jobs:
             machine = jobs.cluster.machines["m-1"]
             machine.images.update({"kit-a": 5.26, "kit-b": 4.0})
-            ImageCacheRecords(jobs.cluster, jobs.writer).changed(machine)
+            ImageCacheRecords(jobs.cluster, jobs.writer).schedule_write(machine)
             await store.next_write(CACHE_KEY)
             later = ImageCacheRecords(jobs.cluster, jobs.writer)
             later.load([item(CACHE_KEY, CACHE)])
             known = Machine("m-1", "g", "a", True, MachinePhase.UP)
-            later.recall(known)
+            later.restore(known)
             assert dict(known.images) == {"kit-a": 5.3, "kit-b": 4.0}
 
     assert_written(play(test), {CACHE_KEY: [CACHE]})
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -163,14 +163,14 @@
     def test(workers: Workers) -> None:
         machine = confirmed_machine(workers)
         workers.tick(7.0)
-        workers.health.elsewhere = lambda: {"m-1": (1, 3)}
+        workers.health.heartbeats_elsewhere = lambda: {"m-1": (1, 3)}
         assert not workers.health.is_partitioned(7.0)
         workers.handle_heartbeat(report(1, 4, 0), 8.0)
         assert machine.unacknowledged_since == 6.0
         assert not workers.health.is_partitioned(
             8.0
         )  # its heartbeat to the other controller is older
-        workers.health.elsewhere = lambda: {"m-1": (1, 5)}
+        workers.health.heartbeats_elsewhere = lambda: {"m-1": (1, 5)}
         assert workers.health.is_partitioned(8.0)
 
     play(test)
@@ -285,10 +285,10 @@
             machines.append(workers.cluster.machines[f"m-{number}"])
         for machine in machines:
             workers.delivery.push(machine, deferrable=True)
-        assert len(workers.delivery.under_way) == constants.DEFERRABLE_COMMANDS_PER_S
+        assert len(workers.delivery.requests_in_flight) == constants.DEFERRABLE_COMMANDS_PER_S
         for machine in machines:
             workers.delivery.push(machine)
-        assert len(workers.delivery.under_way) == len(machines)
+        assert len(workers.delivery.requests_in_flight) == len(machines)
         workers.close()
 
     play(test)
@@ -360,7 +360,7 @@
             machine = workers.cluster.machine(f"m-{number}", "g", "a", False, MachinePhase.UP, 0.0)
             for image in range(20):
                 machine.images[f"img-{image:02d}"] = 1.0 + image / 7
-            caches.changed(machine)
+            caches.schedule_write(machine)
         records = [make() for make in writer.deferred.makers.values()]
         assert len(records) == constants.IMAGE_CACHE_RECORDS
         later = ImageCacheRecords(
@@ -372,7 +372,7 @@
         for number in range(900):
             machine = workers.cluster.machines[f"m-{number}"]
             machine.images.clear()
-            later.recall(machine)
+            later.restore(machine)
             assert "img-19" in machine.images  # the most recently used
             assert len(machine.images) >= 12
 
