--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -18,8 +18,8 @@
 class LivenessProbes:
     """Sends direct requests to machines that missed a heartbeat.
 
-    An answer proves that the machine exists, and nothing else: it neither renews the worker's
-    lease nor counts as a heartbeat. After PROBE_TRIES probes without an answer the machine may be
+    A response proves that the machine exists, and nothing else: it neither renews the worker's
+    lease nor counts as a heartbeat. After PROBE_TRIES probes without a response the machine may be
     deleted sooner than its silence alone would allow.
     """
 
@@ -48,7 +48,7 @@
         client = HttpClient(machine.addr, keep=0, may_send=self.is_leader)
         try:
             for _ in range(constants.PROBE_TRIES):
-                if await self._answers(client):
+                if await self._responds(client):
                     machine.failed_probes = 0
                     return
                 machine.failed_probes += 1
@@ -56,7 +56,7 @@
             del self._in_flight[machine.name]
 
     @staticmethod
-    async def _answers(client: HttpClient) -> bool:
+    async def _responds(client: HttpClient) -> bool:
         try:
             await client.request("GET", "/inspect", b"", constants.PROBE_TIMEOUT_S)
         except NoAnswerError:
