--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -65,7 +65,7 @@
         Deferrable commands above their rate limit wait for the machine's next heartbeat, whose
         response carries all of them: the more there is to start, the more requests this saves.
         """
-        if deferrable and self.deferrable.wait(1, self.loop.time()) > 0:
+        if deferrable and self.deferrable.try_acquire(1, self.loop.time()) > 0:
             return
         if machine.addr and machine.name not in self.requests_in_flight and self.is_leader():
             self.requests_in_flight[machine.name] = self.loop.create_task(self._deliver(machine))
