--- a/peathall/leader/events.py
+++ b/peathall/leader/events.py
@@ -56,11 +56,11 @@
 
     def images_changed(self, machine: Machine) -> None:
         """The machine has cached another image."""
-        self._components.image_caches.changed(machine)
+        self._components.image_caches.schedule_write(machine)
 
     def machine_confirmed(self, machine: Machine) -> None:
         """The machine has sent its first heartbeat with this term's fencing token."""
-        self._components.image_caches.recall(machine)
+        self._components.image_caches.restore(machine)
 
     def spot_notice_received(self, machine: Machine, now: float) -> None:
         """The cloud has announced that it will reclaim the spot machine."""
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -1,7 +1,7 @@
-"""Liveness probes of silent machines that have replicas of daemons.
+"""Liveness probes of silent machines that run replicas of daemons.
 
-A replica that is lost is missed from the first second, so these machines are not waited for as
-long as others.
+The loss of a replica matters from the first second, so these machines must be found lost sooner
+than others.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 class LivenessProbes:
     """Sends direct requests to machines that missed a heartbeat.
 
-    An answer proves that the machine exists, and nothing else: it neither renews the worker's
-    lease nor counts as a heartbeat. After PROBE_TRIES probes without an answer the machine may be
+    A response proves that the machine exists, and nothing else: it neither renews the worker's
+    lease nor counts as a heartbeat. After PROBE_TRIES probes without a response the machine may be
     deleted sooner than its silence alone would allow.
     """
 
     def __init__(self, health: MachineHealth, is_leader: Callable[[], bool]) -> None:
         self.health = health
         self.is_leader = is_leader
-        self._under_way: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
+        self._in_flight: dict[str, asyncio.Task[None]] = {}  # by machine; cancelled by close()
 
     def tick(self, now: float) -> None:
-        """Begin probes of machines that have become silent, unless many have: then the fault is
-        likely to be the network's or this controller's."""
+        """Probe machines that have become silent, unless many have: then the network or this
+        controller is more likely to be at fault."""
         silent = []
-        for machine in self.health.expected():
+        for machine in self.health.expected_machines():
             if not self.health.heartbeat_is_overdue(machine, now):
                 machine.failed_probes = 0
             elif machine.replicas and machine.phase is MachinePhase.UP and machine.addr:
@@ -41,22 +41,22 @@
             return
         for machine in silent:
             is_probed = machine.failed_probes >= constants.PROBE_TRIES
-            if not is_probed and machine.name not in self._under_way:
-                self._under_way[machine.name] = asyncio.create_task(self._probe(machine))
+            if not is_probed and machine.name not in self._in_flight:
+                self._in_flight[machine.name] = asyncio.create_task(self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
         client = HttpClient(machine.addr, keep=0, may_send=self.is_leader)
         try:
             for _ in range(constants.PROBE_TRIES):
-                if await self._answers(client):
+                if await self._responds(client):
                     machine.failed_probes = 0
                     return
                 machine.failed_probes += 1
         finally:
-            del self._under_way[machine.name]
+            del self._in_flight[machine.name]
 
     @staticmethod
-    async def _answers(client: HttpClient) -> bool:
+    async def _responds(client: HttpClient) -> bool:
         try:
             await client.request("GET", "/inspect", b"", constants.PROBE_TIMEOUT_S)
         except NoAnswerError:
@@ -64,6 +64,6 @@
         return True
 
     def close(self) -> None:
-        """Cancel the probes in progress: the term is over."""
-        for task in self._under_way.values():
+        """Cancel the probes in progress at the end of the term."""
+        for task in self._in_flight.values():
             task.cancel()
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -163,14 +163,14 @@
     def test(workers: Workers) -> None:
         machine = confirmed_machine(workers)
         workers.tick(7.0)
-        workers.health.elsewhere = lambda: {"m-1": (1, 3)}
+        workers.health.heartbeats_elsewhere = lambda: {"m-1": (1, 3)}
         assert not workers.health.is_partitioned(7.0)
         workers.handle_heartbeat(report(1, 4, 0), 8.0)
         assert machine.unacknowledged_since == 6.0
         assert not workers.health.is_partitioned(
             8.0
         )  # its heartbeat to the other controller is older
-        workers.health.elsewhere = lambda: {"m-1": (1, 5)}
+        workers.health.heartbeats_elsewhere = lambda: {"m-1": (1, 5)}
         assert workers.health.is_partitioned(8.0)
 
     play(test)
@@ -280,15 +280,15 @@
 def test_deferrable_commands_are_sent_directly_only_within_their_rate_limit() -> None:
     def test(workers: Workers) -> None:
         machines = []
-        for number in range(3 * int(constants.DEFERRABLE_COMMANDS)):
+        for number in range(3 * int(constants.DEFERRABLE_COMMANDS_PER_S)):
             workers.handle_heartbeat(report(1, 1, 0, machine=f"m-{number}"), 1.0)
             machines.append(workers.cluster.machines[f"m-{number}"])
         for machine in machines:
             workers.delivery.push(machine, deferrable=True)
-        assert len(workers.delivery.under_way) == constants.DEFERRABLE_COMMANDS
+        assert len(workers.delivery.requests_in_flight) == constants.DEFERRABLE_COMMANDS_PER_S
         for machine in machines:
             workers.delivery.push(machine)
-        assert len(workers.delivery.under_way) == len(machines)
+        assert len(workers.delivery.requests_in_flight) == len(machines)
         workers.close()
 
     play(test)
@@ -360,9 +360,9 @@
             machine = workers.cluster.machine(f"m-{number}", "g", "a", False, MachinePhase.UP, 0.0)
             for image in range(20):
                 machine.images[f"img-{image:02d}"] = 1.0 + image / 7
-            caches.changed(machine)
+            caches.schedule_write(machine)
         records = [make() for make in writer.deferred.factories.values()]
-        assert len(records) == constants.CACHE_RECORDS
+        assert len(records) == constants.IMAGE_CACHE_RECORDS
         later = ImageCacheRecords(
             workers.cluster, Writer(None, store, lead(), lambda: True, lambda: None)
         )  # type: ignore[arg-type]
@@ -372,7 +372,7 @@
         for number in range(900):
             machine = workers.cluster.machines[f"m-{number}"]
             machine.images.clear()
-            later.recall(machine)
+            later.restore(machine)
             assert "img-19" in machine.images  # the most recently used
             assert len(machine.images) >= 12
 
@@ -390,9 +390,11 @@
         machine = workers.cluster.machines["m-1"]
         job = workers.cluster.jobs["j-123456"] = Job(spec(id="j-123456", tasks=9999, cpus=0.001))
         view = MachineView("m-1", "g", "a", False, (8.0, 0.0, 16.0), (8.0, 0.0, 16.0))
-        assert view.capacity_for(spec(tasks=9999, cpus=0.001, ram=0.0)) == constants.MACHINE_TASKS
+        assert (
+            view.capacity_for(spec(tasks=9999, cpus=0.001, ram=0.0)) == constants.MACHINE_TASKS_MAX
+        )
         number = workers.cluster.new_attempt_number()
-        for task in range(9000, 9000 + constants.MACHINE_TASKS + 50):
+        for task in range(9000, 9000 + constants.MACHINE_TASKS_MAX + 50):
             workers.cluster.allocate(job, task, number, machine, "r").enter(
                 AttemptPhase.INTENDED, 6.0
             )
@@ -410,8 +412,8 @@
             assert answer is not None
             assert json_size(answer) < 60 * 1024
             commands += answer["writs"]
-        assert len({x["parcel"] for x in commands}) == constants.MACHINE_TASKS + 50
-        assert workers.reported_task_count(machine) == constants.MACHINE_TASKS + 50
+        assert len({x["parcel"] for x in commands}) == constants.MACHINE_TASKS_MAX + 50
+        assert workers.reported_task_count(machine) == constants.MACHINE_TASKS_MAX + 50
 
     asyncio.run(run())
 
