--- a/tests/unit/test_autoscaling.py
+++ b/tests/unit/test_autoscaling.py
@@ -1,4 +1,4 @@
-"""Provisioning, listing and deleting machines by the hundred, against a stand-in of the cloud."""
+"""Provisioning, listing and deleting many machines, with a stand-in for the cloud provider."""
 
 from __future__ import annotations
 
@@ -18,54 +18,54 @@
 from tests.unit.test_workers import new_autoscaler, new_workers, report
 
 
-class Cloud:
-    """Answers after a turn of the event loop; keeps the requests."""
+class FakeCloud:
+    """Stands in for the cloud provider: answers after a turn of the event loop, notes requests."""
 
     def __init__(self) -> None:
         self.deleted: list[list[str]] = []
         self.provisioned: list[tuple[str, int]] = []
-        self.at_once = self.most_at_once = 0
+        self.in_flight = self.max_in_flight = 0
         self.no_answer = False
 
     async def delete(self, machines: list[str]) -> None:
         self.deleted.append(machines)
 
     async def provision(self, request: ProvisionRequest) -> list[str]:
-        self.at_once += 1
-        self.most_at_once = max(self.most_at_once, self.at_once)
+        self.in_flight += 1
+        self.max_in_flight = max(self.max_in_flight, self.in_flight)
         await asyncio.sleep(0)
-        self.at_once -= 1
+        self.in_flight -= 1
         if self.no_answer:
             raise CloudError("no answer", sent=True)
         self.provisioned.append((request.request, request.count))
         return [f"{request.request}/{n}" for n in range(request.count)]
 
 
-def play(
-    test: Callable[[Autoscaler, Workers, Cloud], Awaitable[None]], idle_hold_s: float = 1e6
+def run_test(
+    test: Callable[[Autoscaler, Workers, FakeCloud], Awaitable[None]], idle_hold_s: float = 1e6
 ) -> None:
     async def run() -> None:
-        workers, cloud = new_workers(asyncio.get_running_loop().time()), Cloud()
+        workers, cloud = new_workers(asyncio.get_running_loop().time()), FakeCloud()
         await test(new_autoscaler(workers, cloud, None, idle_hold_s), workers, cloud)
 
     asyncio.run(run())
 
 
-def unplaced(job: JobView, count: int) -> Plan:
-    """What a round decided that found no capacity for so many tasks of the job."""
+def plan_with_unplaced(job: JobView, count: int) -> Plan:
+    """The plan of a round that found no capacity for `count` tasks of the job."""
     plan = Plan()
     plan.unplaced = [(job, count)]
     return plan
 
 
-def listed(
+def listed_machine(
     number: int, state: MachineState = MachineState.RUNNING, age: float = 500.0
 ) -> ListedMachine:
     return ListedMachine(f"m-{number}", "", "g", "a", False, state, age)
 
 
-def add(workers: Workers, number: int, now: float) -> Machine:
-    """A machine that is up and has acknowledged an answer."""
+def add_machine(workers: Workers, number: int, now: float) -> Machine:
+    """Add a machine that is up and has acknowledged an answer."""
     for seq in (1, 2):
         workers.handle_heartbeat(
             report(1, seq, workers.lowest_fencing_token, machine=f"m-{number}"), now
@@ -74,25 +74,25 @@
 
 
 def test_hundreds_of_machines_are_provisioned_at_once_in_full_batches() -> None:
-    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: FakeCloud) -> None:
         autoscaler.machine_list.reconcile([], 0.0)
-        waits = JobView(spec(id="j-1", tasks=260, cpus=8.0, gpus=0.0, ram=1.0), 260)
-        autoscaler.note_unplaced(unplaced(waits, 260))
+        job = JobView(spec(id="j-1", tasks=260, cpus=8.0, gpus=0.0, ram=1.0), 260)
+        autoscaler.note_unplaced(plan_with_unplaced(job, 260))
         await autoscaler.scale_out_step()
         assert sorted(count for _, count in cloud.provisioned) == [10, 50, 50, 50, 50, 50]
         assert len({request for request, _ in cloud.provisioned}) == 6
-        assert cloud.most_at_once == 6
+        assert cloud.max_in_flight == 6
         await autoscaler.scale_out_step()
-        assert len(cloud.provisioned) == 6  # those that are coming are enough
+        assert len(cloud.provisioned) == 6  # the machines being provisioned suffice
 
-    play(test)
+    run_test(test)
 
 
 def test_provision_requests_without_an_answer_are_repeated_before_any_other() -> None:
-    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: FakeCloud) -> None:
         autoscaler.machine_list.reconcile([], 0.0)
-        waits = JobView(spec(id="j-1", tasks=70, cpus=8.0, gpus=0.0, ram=1.0), 70)
-        autoscaler.note_unplaced(unplaced(waits, 70))
+        job = JobView(spec(id="j-1", tasks=70, cpus=8.0, gpus=0.0, ram=1.0), 70)
+        autoscaler.note_unplaced(plan_with_unplaced(job, 70))
         cloud.no_answer = True
         for _ in range(3):
             try:
@@ -106,18 +106,18 @@
         assert {request for request, _ in cloud.provisioned} == names
         assert not autoscaler.provisioner.unanswered
 
-    play(test)
+    run_test(test)
 
 
-def test_a_deletion_never_names_more_than_the_protocol_allows() -> None:
-    """With 80 idle machines and 40 that failed, one request of 120 was refused for ever."""
+def test_a_deletion_never_names_more_machines_than_the_protocol_allows() -> None:
+    """Regression: a deletion of 120 machines, 80 idle and 40 failed ones, was refused forever."""
 
-    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: FakeCloud) -> None:
         now = asyncio.get_running_loop().time()
         for number in range(230):
-            add(workers, number, now - 1.0)
+            add_machine(workers, number, now - 1.0)
         autoscaler.machine_list.reconcile(
-            [listed(n, MachineState.FAILED) for n in range(300, 390)], now
+            [listed_machine(n, MachineState.FAILED) for n in range(300, 390)], now
         )
         await autoscaler.scale_in.step()
         assert not autoscaler.scale_in.failed
@@ -125,22 +125,25 @@
         assert max(map(len, cloud.deleted)) == constants.MAX_DELETION_NAMES
         assert len({name for names in cloud.deleted for name in names}) == 230 + 90
 
-    play(test, idle_hold_s=0.0)
+    run_test(test, idle_hold_s=0.0)
 
 
 def test_after_a_failover_a_listed_machine_is_not_judged_by_its_age() -> None:
-    """It runs, idle, and sends a heartbeat within seconds; its age once made it late to start."""
+    """Regression: because of its age, an idle machine that sends a heartbeat within seconds counted
+    as late to start up."""
 
-    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: FakeCloud) -> None:
         now = workers.failover_at
-        add(workers, 1, now + 1.0)
+        add_machine(workers, 1, now + 1.0)
         autoscaler.machine_list.reconcile(
-            [listed(1), listed(2), listed(3, MachineState.STARTING, 20.0)], now + 1.0
+            [listed_machine(1), listed_machine(2), listed_machine(3, MachineState.STARTING, 20.0)],
+            now + 1.0,
         )
         assert not autoscaler.scale_in.machines_to_delete(now + 1.0)
         idle = workers.cluster.machines["m-2"]
         assert idle.phase is MachinePhase.RECOVERED
-        assert autoscaler.scale_out.is_expected(idle, now + 2.0)  # none in its place
+        # It is expected to come up, so no other machine is provisioned instead.
+        assert autoscaler.scale_out.is_expected(idle, now + 2.0)
         for second in range(1, 16):
             workers.tick(now + second)
             for number in (1, 2) if second < 5 else (1,):
@@ -151,8 +154,10 @@
                 )
         assert idle.is_schedulable
         assert "m-4" not in workers.cluster.machines
-        # One that stays silent was perhaps deleted by the leader before; its silence decides.
-        autoscaler.machine_list.reconcile([listed(n, age=400.0) for n in (1, 2, 4)], now + 15.0)
+        # The previous leader may have deleted m-4, so its silence decides, and not its age.
+        autoscaler.machine_list.reconcile(
+            [listed_machine(n, age=400.0) for n in (1, 2, 4)], now + 15.0
+        )
         for second in range(16, 31):
             workers.tick(now + second)
             for number in (1, 2):
@@ -163,17 +168,17 @@
                 )
         assert [m.name for m in autoscaler.scale_in.machines_to_delete(now + 30.0)] == ["m-4"]
 
-    play(test)
+    run_test(test)
 
 
 def test_a_leader_that_was_suspended_does_not_delete_the_machines_that_it_did_not_hear() -> None:
-    """Suspended for 28 s, it resumes with machines that all look silent. An outage of the state
-    service keeps its lease, so it may act; once a third had sent heartbeats, the others were
-    deleted."""
+    """A leader that resumes after 28 s finds all machines silent. It may still lead: its lease
+    does not expire during an outage of the state service. Regression: once a third of the machines
+    had sent heartbeats, it deleted the others."""
 
-    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: FakeCloud) -> None:
         now = workers.failover_at
-        machines = [add(workers, number, now + 1.0) for number in range(10)]
+        machines = [add_machine(workers, number, now + 1.0) for number in range(10)]
         workers.tick(now + 1.0)
         resumed = now + 29.0
         for machine in machines[:4]:
@@ -191,50 +196,54 @@
             machines[9].name
         ]
 
-    play(test)
+    run_test(test)
 
 
 def test_idle_machines_are_deleted_for_a_starving_job_after_a_capacity_error() -> None:
-    """They were held for five minutes for teams with guarantees, in a cloud without capacity."""
+    """Regression: idle machines were held for five minutes for teams with guarantees, while the
+    cloud provider had no capacity for the starving job."""
 
-    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: FakeCloud) -> None:
         now = workers.failover_at
         for number in range(2 * constants.MAX_DELETED_FOR_STARVING_JOB):
-            add(workers, number, now)
+            add_machine(workers, number, now)
             workers.cluster.machines[f"m-{number}"].idle_since = (
                 now - constants.DELETED_FOR_STARVING_JOB_IDLE_S - number + 1
             )
         job = JobView(spec(id="j-1", zone="b"), 1, is_starving=True)
-        autoscaler.note_unplaced(unplaced(job, 1))
-        assert not autoscaler.scale_in.machines_to_delete(now)  # no capacity error yet
+        autoscaler.note_unplaced(plan_with_unplaced(job, 1))
+        assert not autoscaler.scale_in.machines_to_delete(now)  # there was no capacity error yet
         autoscaler.provisioner.capacity_errors[OfferKey("g", "b", False)] = now + 200.0
         assert (
             len(autoscaler.scale_in.machines_to_delete(now))
             == constants.MAX_DELETED_FOR_STARVING_JOB
         )
 
-        def deleted_for_it(at: float) -> int:
+        def deleted_for_starving_jobs(at: float) -> int:
             shortage = autoscaler.scale_out.shortage(at)
             return len(autoscaler.scale_in_policy.idle_for_starving_jobs(at, shortage))
 
-        assert not deleted_for_it(now + 1.0)  # first it must show whether that helps
+        # The previous deletion is first given time to take effect.
+        assert not deleted_for_starving_jobs(now + 1.0)
         assert (
-            deleted_for_it(now + constants.DELETED_FOR_STARVING_JOB_INTERVAL_S + 0.1)
+            deleted_for_starving_jobs(now + constants.DELETED_FOR_STARVING_JOB_INTERVAL_S + 0.1)
             == constants.MAX_DELETED_FOR_STARVING_JOB
-        )  # sums are not exact
-        autoscaler.note_unplaced(unplaced(JobView(spec(id="j-2"), 1, is_starving=True), 1))
-        assert not deleted_for_it(
+        )  # a little later than the interval, since sums of floats are not exact
+        autoscaler.note_unplaced(
+            plan_with_unplaced(JobView(spec(id="j-2"), 1, is_starving=True), 1)
+        )
+        assert not deleted_for_starving_jobs(
             now + 3 * constants.DELETED_FOR_STARVING_JOB_INTERVAL_S
-        )  # it could use them itself
+        )  # this starving job can use the idle machines itself
 
-    play(test)
+    run_test(test)
 
 
 def test_a_machine_that_can_take_no_work_yet_is_not_idle() -> None:
-    """It was held for less than its second heartbeat takes: it was deleted before any work could
-    come, another was provisioned, and so on without end."""
+    """Regression: idle machines were held for less time than passes until their second heartbeat.
+    They were deleted before they could take work, and others were provisioned, endlessly."""
 
-    async def test(autoscaler: Autoscaler, workers: Workers, cloud: Cloud) -> None:
+    async def test(autoscaler: Autoscaler, workers: Workers, cloud: FakeCloud) -> None:
         now = asyncio.get_running_loop().time()
         workers.handle_heartbeat(report(1, 1, 0, machine="m-1"), now)
         assert not autoscaler.scale_in.machines_to_delete(now + 4.0)
@@ -243,4 +252,4 @@
         )
         assert [m.name for m in autoscaler.scale_in.machines_to_delete(now + 5.1)] == ["m-1"]
 
-    play(test, idle_hold_s=1.0)
+    run_test(test, idle_hold_s=1.0)
--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -1,4 +1,4 @@
-"""Decisions about other cells: leases, summaries of room, and what is offered."""
+"""Decisions about other cells: leases, summaries of free capacity, and which jobs are offered."""
 
 from __future__ import annotations
 
@@ -47,22 +47,24 @@
 
 @pytest.mark.parametrize("way_s", [0.0, 0.4, 1.9])
 @pytest.mark.parametrize("drift", [-constants.CLOCK_DRIFT, constants.CLOCK_DRIFT])
-def test_the_homes_count_of_a_lease_ends_last(way_s: float, drift: float) -> None:
-    """Whatever the way took, and whichever clock runs faster."""
-    lease_s, lapse_s = 600.0, 25.0
+def test_the_lease_of_a_handoff_expires_at_the_borrower_before_the_home_cell(
+    way_s: float, drift: float
+) -> None:
+    """Holds whichever clock is faster. `way_s` is the delay of the heartbeat that renews the lease."""
+    lease_s, task_expiry_s = 600.0, 25.0
     borrower = HeldLease(lease_s, 0.0)
-    home = GrantedLease(lease_s, lapse_s, 0.0)
-    home.record_renewal(way_s, lapse_s)
-    stopped = borrower.until / (1 + drift)  # in true time
+    home = GrantedLease(lease_s, task_expiry_s, 0.0)
+    home.record_renewal(way_s, task_expiry_s)
+    stopped = borrower.until / (1 + drift)  # in real time
     assert stopped < home.expires_at / (1 - drift)
-    assert stopped + lapse_s / (1 + drift) < home.tasks_gone_at / (1 - drift)
+    assert stopped + task_expiry_s / (1 + drift) < home.tasks_gone_at / (1 - drift)
     assert not home.tasks_gone_within(home.expires_at - 0.1, 1000.0)
     assert home.tasks_gone_within(home.expires_at + 0.1, 26.0)
     assert not home.tasks_gone_within(home.expires_at + 0.1, 20.0)
 
 
-def test_what_fits_by_its_summary_fits_by_trying() -> None:
-    """Against a plain model that tries every spread of tasks over the machines."""
+def test_a_job_fits_by_the_capacity_summary_exactly_if_a_placement_exists() -> None:
+    """Compares the summary with a search through all distributions of tasks over machines."""
     rng = random.Random(3)
     for number in range(300):
         machines = [
@@ -77,10 +79,10 @@
             scatter=False,
             ward=rng.choice([None, "a"]),
         )
-        assert fits_whole(job, summarize(machines)) is fits_by_trying(job, machines)
+        assert fits_whole(job, summarize(machines)) is placement_exists(job, machines)
 
 
-def fits_by_trying(job: JobSpec, machines: list[MachineView]) -> bool:
+def placement_exists(job: JobSpec, machines: list[MachineView]) -> bool:
     for counts in product(range(job.tasks + 1), repeat=len(machines)):
         used = [m for m, count in zip(machines, counts, strict=True) if count]
         if (
@@ -93,14 +95,14 @@
     return False
 
 
-def test_a_summary_is_bounded_and_tells_of_the_most_room_first() -> None:
+def test_a_capacity_summary_is_bounded_and_lists_the_largest_free_capacity_first() -> None:
     machines = [machine(f"m-{i}", f"z{i}", float(i % 5)) for i in range(4000)]
     rows = summarize(machines)
     assert len(rows) == constants.CELL_MAX_CAPACITY_ROWS and rows[0].gpus == 4
     assert len(msgspec.json.encode(rows)) < 4096
 
 
-def test_the_wait_at_home_is_told_by_what_ends_and_what_comes() -> None:
+def test_the_expected_wait_at_home_considers_expected_ends_and_starting_machines() -> None:
     job = spec(parcels=2)
     busy = [machine("m-1", "a", 1.0, (30.0,)), machine("m-2", "b", 1.0, (70.0,))]
     assert expected_wait_s(job, busy, []) == 70.0
@@ -109,7 +111,9 @@
     assert expected_wait_s(together, busy, []) == constants.CELL_UNKNOWN_WAIT_S
 
 
-class Cell:
+class FakeCell:
+    """Another cell, with this number of free machines."""
+
     def __init__(self, name: str, machines: int) -> None:
         self.name, self.machines = name, machines
 
@@ -129,30 +133,35 @@
     [(15.0, 60.0, True), (15.0, 3.0, False), (100.0, 60.0, False), (1e7, 60.0, True)],
     ids=["late at home", "soon at home", "in time at home", "late already"],
 )
-def test_what_is_offered(latest: float, at_home_s: float, offered: bool) -> None:
-    rule, cells = HandoffPolicy(OBJECTIVES, random.Random(1)), [Cell("south", 1)]
-    views = rule.candidates([view(latest)], ["j-000001"])
-    assert rule.choose(views, cells, lambda _: at_home_s, 0.0, 0.0) is None  # it has not waited
+def test_which_jobs_are_offered(latest: float, at_home_s: float, offered: bool) -> None:
+    policy, cells = HandoffPolicy(OBJECTIVES, random.Random(1)), [FakeCell("south", 1)]
+    views = policy.candidates([view(latest)], ["j-000001"])
+    assert policy.choose(views, cells, lambda _: at_home_s, 0.0, 0.0) is None  # it has not waited
     now = constants.CELL_MIN_WAIT_S + 0.1
-    chosen = rule.choose(views, cells, lambda _: at_home_s, now, now)
+    chosen = policy.choose(views, cells, lambda _: at_home_s, now, now)
     assert (chosen is not None) is offered
-    assert rule.choose(views, [Cell("south", 0)], lambda _: at_home_s, now, now) is None
+    assert policy.choose(views, [FakeCell("south", 0)], lambda _: at_home_s, now, now) is None
 
 
-def test_no_other_class_is_offered_and_no_job_wanders() -> None:
-    rule, cells = HandoffPolicy(OBJECTIVES, random.Random(1)), [Cell("south", 1), Cell("west", 1)]
+def test_other_classes_are_not_offered_and_the_handoffs_of_a_job_are_limited() -> None:
+    policy, cells = (
+        HandoffPolicy(OBJECTIVES, random.Random(1)),
+        [FakeCell("south", 1), FakeCell("west", 1)],
+    )
     others = [view(0.0, 1, docket="c1"), view(0.0, 2, precedence="standard")]
-    assert rule.candidates(others) == []
-    views = rule.candidates([view(10.0)], ["j-000001"])
-    now, names_ = 0.0, []
+    assert policy.candidates(others) == []
+    views = policy.candidates([view(10.0)], ["j-000001"])
+    now, offered_to = 0.0, []
     for _ in range(400):
         now += 1.0
-        chosen = rule.choose(views, cells, lambda _: 60.0, now, 0.0)
+        chosen = policy.choose(views, cells, lambda _: 60.0, now, 0.0)
         if chosen is not None:
-            names_.append(chosen[1].name)
-            rule.note_outcome("j-000001", chosen[1].name, len(names_) > 2, now)
-    # Refused by one, it asks the other; granted three times, it stays.
-    assert names_[:2] == ["south", "west"] and len(names_) == 2 + constants.CELL_MAX_HANDOFFS
+            offered_to.append(chosen[1].name)
+            policy.note_outcome("j-000001", chosen[1].name, len(offered_to) > 2, now)
+    # After a refusal the job is offered to the other cell; after CELL_MAX_HANDOFFS grants, to none.
+    assert (
+        offered_to[:2] == ["south", "west"] and len(offered_to) == 2 + constants.CELL_MAX_HANDOFFS
+    )
 
 
 def test_retries_back_off_with_jitter_up_to_a_bound() -> None:
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -1,4 +1,4 @@
-"""Unhealthy machines and failing jobs, with histories that were judged wrongly before."""
+"""Distinguishing unhealthy machines from failing jobs, with regressions of wrong attributions."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class FaultyCluster:
-    """A cluster with unhealthy machines and failing jobs; starts fail or succeed accordingly."""
+    """A cluster in which starts on `unhealthy` machines and of `failing` jobs fail; others run."""
 
     def __init__(self, machines: int) -> None:
         self.cluster = ClusterState(1, 0)
@@ -33,7 +33,7 @@
         self.unhealthy: set[str] = set()
         self.failing: set[str] = set()
         self.drained: list[str] = []
-        self.number = 0
+        self.attempt_number = 0
 
     def job(self, number: int, tasks: int) -> Job:
         job_id = f"j-{number}"
@@ -41,13 +41,13 @@
         return job
 
     def start(self, job: Job, names: list[str], now: float) -> None:
-        """Start its next tasks on these machines, in one round; each fails or runs at once."""
-        self.number += 1
+        """Start the next tasks on these machines, in one round; each fails or runs at once."""
+        self.attempt_number += 1
         started = []
         for name in names:
             machine = self.cluster.machines[name]
             task = next(iter(job.pending))
-            started.append(self.cluster.allocate(job, task, self.number, machine, "r"))
+            started.append(self.cluster.allocate(job, task, self.attempt_number, machine, "r"))
         for attempt in started:
             if job.spec.id in self.failing or attempt.machine in self.unhealthy:
                 self.cluster.release(attempt, now)
@@ -67,8 +67,8 @@
 
 
 def test_a_job_that_fails_everywhere_drains_no_machine_and_backs_off() -> None:
-    """An array that always fails does so on thirty machines within a second. Regression: two
-    such arrays had all machines drained that both had used."""
+    """An array whose tasks always fail does so on thirty machines within a second. Regression: with
+    two such arrays, all machines on which both had failed were drained."""
     faulty = FaultyCluster(30)
     now, backoffs = 0.0, []
     for number in (1, 2, 3):
@@ -77,7 +77,7 @@
     for number in (1, 2, 3):
         job = faulty.cluster.jobs[f"j-{number}"]
         assert job.health is JobHealth.FAILING
-        # One round counts as one failure.
+        # All tasks that failed in one round count as one failure.
         assert job.backoff_until == now + constants.ERROR_BACKOFF_S
     job = faulty.cluster.jobs["j-1"]
     while len(backoffs) < 8:
@@ -88,12 +88,12 @@
     assert faulty.drained == []
 
 
-def test_a_machine_that_fails_what_succeeds_elsewhere_is_unhealthy() -> None:
+def test_a_machine_that_fails_jobs_which_succeed_elsewhere_is_unhealthy() -> None:
     faulty = FaultyCluster(5)
     faulty.unhealthy.add("m-0")
     job = faulty.job(1, 10)
     faulty.start(job, ["m-0", "m-1", "m-2"], 0.0)
-    assert faulty.drained == []  # one failure shows nothing yet
+    assert faulty.drained == []  # one failure shows neither an unhealthy machine nor a failing job
     assert faulty.faults.machines_to_avoid(job) == ["m-0"]
     faulty.drain(faulty.faults.note_runtimes(constants.SUCCESS_RUNTIME_S - 0.1))
     assert faulty.drained == []
@@ -101,7 +101,7 @@
     assert (faulty.drained, job.health) == (["m-0"], JobHealth.HEALTHY)
     faulty.unhealthy.add("m-3")
     faulty.start(job, ["m-3"], 20.0)
-    assert faulty.drained == ["m-0", "m-3"]  # the job is known to be healthy: at once
+    assert faulty.drained == ["m-0", "m-3"]  # drained at once: the job is known to be healthy
 
 
 def test_a_machine_that_fails_several_jobs_is_unhealthy_before_any_has_run_elsewhere() -> None:
@@ -128,15 +128,17 @@
 
 
 def test_a_job_that_fails_only_after_a_minute_is_not_taken_as_healthy() -> None:
-    """Its tasks run for a minute before they fail, which must not be attributed to machines."""
+    """All tasks of the job fail after a minute, which must not be attributed to the machines."""
     faulty = FaultyCluster(40)
     job = faulty.job(1, 40)
     for number in range(12):
-        faulty.number += 1
+        faulty.attempt_number += 1
         names = faulty.names[3 * number : 3 * number + 3]
         now = 200.0 * number
         runs = [
-            faulty.cluster.allocate(job, task, faulty.number, faulty.cluster.machines[name], "r")
+            faulty.cluster.allocate(
+                job, task, faulty.attempt_number, faulty.cluster.machines[name], "r"
+            )
             for task, name in zip(job.pending.first(3), names, strict=True)
         ]
         for attempt in runs:
@@ -146,7 +148,8 @@
         for attempt in runs:
             faulty.cluster.release(attempt, now + 60.0)
             faulty.drain(faulty.faults.note_failure(attempt, 60.0, now + 60.0))
-    assert len(faulty.drained) <= 2  # before it is known how long it takes to fail
+    # These are drained before the tracker knows how long tasks of this job run until they fail.
+    assert len(faulty.drained) <= 2
     assert job.health is JobHealth.FAILING
 
 
@@ -184,30 +187,32 @@
 
 
 def test_a_failing_job_is_failing_for_the_next_leader_too() -> None:
-    """Regression: every leader started all its tasks again."""
+    """Regression: each new leader started all tasks of the job again."""
 
     async def run() -> None:
         faulty = FaultyCluster(4)
         faulty.failing.add("j-1")
         job = faulty.job(1, 50)
-        nothing: Any = SimpleNamespace(limits=None)
+        store: Any = SimpleNamespace(limits=None)
         record = FailingJobsRecord(
-            faulty.cluster, faulty.faults, Writer(nothing, LIMITS, lead(), bool, bool)
+            faulty.cluster, faulty.faults, Writer(store, LIMITS, lead(), bool, bool)
         )
         faulty.start(job, ["m-0", "m-1", "m-2"], 0.0)
-        (make,) = record.writer.deferred.factories.values()
-        change = make()
-        assert change is not None
-        (put,) = change.ops
+        (make_mutation,) = record.writer.deferred.factories.values()
+        mutation = make_mutation()
+        assert mutation is not None
+        (put,) = mutation.ops
         assert isinstance(put, Put)
-        later = FaultyCluster(4)
-        later.failing.add("j-1")
-        again = later.job(1, 50)
-        writer = Writer(nothing, LIMITS, lead(2), bool, bool)
-        FailingJobsRecord(later.cluster, later.faults, writer).load(KeyValue(put.key, put.value, 5))
-        assert again.health is JobHealth.FAILING
-        later.start(again, ["m-3"], 10.0)
-        assert again.backoff_until == 10.0 + 2 * constants.ERROR_BACKOFF_S
-        assert later.cluster.machines["m-3"].failed_jobs == set()
+        recovered = FaultyCluster(4)
+        recovered.failing.add("j-1")
+        recovered_job = recovered.job(1, 50)
+        writer = Writer(store, LIMITS, lead(2), bool, bool)
+        FailingJobsRecord(recovered.cluster, recovered.faults, writer).load(
+            KeyValue(put.key, put.value, 5)
+        )
+        assert recovered_job.health is JobHealth.FAILING
+        recovered.start(recovered_job, ["m-3"], 10.0)
+        assert recovered_job.backoff_until == 10.0 + 2 * constants.ERROR_BACKOFF_S
+        assert recovered.cluster.machines["m-3"].failed_jobs == set()
 
     asyncio.run(run())
--- a/tests/unit/test_imports.py
+++ b/tests/unit/test_imports.py
@@ -1,4 +1,4 @@
-"""Imports between packages run one way: from the upper layers of docs/architecture.md down."""
+"""Packages import only packages of lower layers. docs/architecture.md describes the layers."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 ROOT = Path(__file__).resolve().parents[2] / "peathall"
 
-# From the ground up; a package may import those before it. Packages of one line are of one layer
-# and do not import one another.
+# From the lowest layer up. A package may import the packages of lower layers, but not those of its
+# own layer, which stand on the same line.
 LAYERS = [
     ["constants"],
     ["http", "config"],
--- a/tests/unit/test_leader.py
+++ b/tests/unit/test_leader.py
@@ -1,4 +1,4 @@
-"""A leader's term from recovery to its end, and the phases of a controller in the election."""
+"""A leader's term from recovery to its end, and the phases of a controller in leader election."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class SilentCloud:
-    """Never answers."""
+    """Stands in for the cloud provider, and never answers."""
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
         async def call(*args: Any) -> None:
@@ -47,7 +47,7 @@
 
 
 class UnreliableStore(RecordingStore):
-    """Fails the first so many scans."""
+    """Fails the first `failures` scans."""
 
     def __init__(self, failures: int) -> None:
         super().__init__()
@@ -62,8 +62,8 @@
         return await super().scan(prefix, *args)
 
 
-class HeldLeadership:
-    """The leader lease is valid until the test says otherwise."""
+class FakeLeadership:
+    """A leader lease, valid until the test sets `valid` to False or the leader steps down."""
 
     def __init__(self) -> None:
         self.valid = True
@@ -77,9 +77,9 @@
 
 def make_leader(
     store: Any, operator: Operator | None = None, duties: Duties | None = None
-) -> tuple[Leader, HeldLeadership]:
+) -> tuple[Leader, FakeLeadership]:
     cloud: Any = SilentCloud()
-    leadership = HeldLeadership()
+    leadership = FakeLeadership()
     context = ControllerContext(
         settings=parse(SETTINGS),
         operator=operator or Operator(),
@@ -159,7 +159,7 @@
     run(test)
 
 
-def test_recovery_begins_again_after_a_failed_read(caplog: pytest.LogCaptureFixture) -> None:
+def test_recovery_restarts_after_a_failed_read(caplog: pytest.LogCaptureFixture) -> None:
     async def test() -> None:
         store = UnreliableStore(failures=1)
         leader, _ = make_leader(store)
@@ -175,7 +175,7 @@
     ]
 
 
-def test_leader_without_a_valid_lease_answers_nobody() -> None:
+def test_leader_without_a_valid_lease_serves_no_requests() -> None:
     async def test() -> None:
         leader, leadership = make_leader(RecordingStore())
         heartbeat: Any = None
--- a/tests/unit/test_leader_features.py
+++ b/tests/unit/test_leader_features.py
@@ -1,4 +1,4 @@
-"""A leader without cells and duties: the null objects that stand in for them."""
+"""A leader without cells and duties uses null objects in their place."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from peathall.duties.disabled import NoDuties
 
 
-def test_controller_does_not_import_the_cells_and_duties_that_are_not_enabled() -> None:
+def test_controller_does_not_import_cells_and_duties_while_they_are_disabled() -> None:
     code = (
         "import sys; import peathall.controller.controller;"
         " print(sorted(m for m in sys.modules if m.startswith(('peathall.cells.',"
@@ -25,7 +25,7 @@
         assert f"'peathall.{module}'" not in run.stdout
 
 
-def test_without_cells_every_job_is_of_this_cell() -> None:
+def test_without_cells_every_job_belongs_to_this_cell() -> None:
     cells = NoCells()
     job: Any = None
     assert cells.home_of("j-1") is None
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -1,4 +1,4 @@
-"""Rounds at the leader: starving jobs, zones known after a failover, and moves of replicas."""
+"""Placement rounds of a leader: starving jobs, unknown zones, and moves of replicas."""
 
 from __future__ import annotations
 
@@ -20,28 +20,27 @@
 
 
 def storing_writer() -> Any:
-    """A writer that stores all it is given at once."""
+    """A stand-in for the writer that reports each write as stored at once."""
     stored: asyncio.Future[int] = asyncio.get_running_loop().create_future()
     stored.set_result(1)
     return SimpleNamespace(versions={}, submit=lambda ops: stored, value_limit=1000)
 
 
-def machine_up(cluster: ClusterState, name: str, zone: str, now: float) -> Machine:
-    """A machine that takes new work."""
+def add_schedulable_machine(cluster: ClusterState, name: str, zone: str, now: float) -> Machine:
     machine = cluster.machine(name, "g", zone, False, MachinePhase.UP, now)
     machine.confirmed, machine.last_heard = True, now
     return machine
 
 
-def test_the_first_start_of_a_starving_job_is_not_preempted_and_restarts_no_wait() -> None:
-    """A starving gang was preempted 0.3 s after its start, and waited 350 s more: its wait had
-    begun anew, though none of its tasks had run."""
+def test_the_first_start_of_a_starving_job_is_not_preempted_and_does_not_reset_its_wait() -> None:
+    """Regression: a starving gang was preempted 0.3 s after its start and waited for another 350 s,
+    since the start had reset its wait although none of its tasks had run."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
         workers = new_workers(now)
         placement = new_placement(workers, storing_writer())
-        machine = machine_up(workers.cluster, "m-1", "a", now)
+        machine = add_schedulable_machine(workers.cluster, "m-1", "a", now)
         plan = Plan()
         for job_id, waited in (("j-1", constants.STARVING_S + 1.0), ("j-2", 10.0)):
             workers.cluster.jobs[job_id] = Job(spec(id=job_id, gang=True), now - waited)
@@ -61,7 +60,7 @@
         for job in (old, young):
             job.has_started = job is young
             workers.cluster.release(job.attempts[0], now + 60.0)
-        assert is_starving(old, now + 61.0)  # it has not run: its wait goes on
+        assert is_starving(old, now + 61.0)  # it has not run: its wait was not reset
         assert not is_starving(young, now + 61.0)
         assert is_starving(young, now + 61.0 + constants.STARVING_S)
 
@@ -69,8 +68,9 @@
 
 
 def test_a_spread_job_is_not_placed_while_the_zone_of_one_of_its_machines_is_unknown() -> None:
-    """A new leader knew two tasks of an array to be spread from records only, on a machine that
-    was silent while the cloud was down: its zone counted as none, and got all the others too."""
+    """Regression: a new leader knew two tasks of a spread array only from records. Their machine
+    was silent, and the cloud provider was down and did not list it. Its tasks counted for no zone,
+    so all other tasks were placed in the same zone."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
@@ -85,9 +85,10 @@
         for task in (0, 1):
             cluster.allocate(job, task, 7, silent, "round/1")
         for name, zone in (("m-2", "a"), ("m-3", "b")):
-            machine_up(cluster, name, zone, now)
+            add_schedulable_machine(cluster, name, zone, now)
         assert (await placement.decide(now)).assignments == []
-        cluster.machine("m-1", "g", "a", False, MachinePhase.RECOVERED, now)  # listed
+        # The cloud provider lists the machine with its zone.
+        cluster.machine("m-1", "g", "a", False, MachinePhase.RECOVERED, now)
         assert [(x.machine, x.count) for x in (await placement.decide(now)).assignments] == [
             ("m-3", 2)
         ]
@@ -96,7 +97,7 @@
 
 
 def test_among_starving_jobs_a_large_gang_goes_before_an_older_small_one() -> None:
-    """Its machines become free one by one, while a small one finds its own soon."""
+    """A large gang needs machines that become free one by one; a small one finds capacity soon."""
 
     def key(tasks: int, submitted: float) -> tuple[float, ...]:
         return job_sort_key(
@@ -115,7 +116,8 @@
 
 
 def test_a_replica_is_stopped_for_a_move_only_once_capacity_is_reserved() -> None:
-    """A replica on an unhealthy machine was stopped before it was known where it can go."""
+    """Regression: a replica on an unhealthy machine was stopped before capacity for it was found on
+    another machine."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
@@ -123,7 +125,9 @@
         cluster = workers.cluster
         cluster.types = {"g": MachineType("g", 4.0, 0.0, 8.0, 50.0, 1.0, 1.0, 1.0, 30.0, ["a"])}
         placement = new_placement(workers, storing_writer())
-        unhealthy, target = (machine_up(cluster, name, "a", now) for name in ("m-1", "m-2"))
+        unhealthy, target = (
+            add_schedulable_machine(cluster, name, "a", now) for name in ("m-1", "m-2")
+        )
         job = cluster.jobs["j-1"] = Job(spec(daemon=True, cpus=2.0, priority=0), now)
         replica = cluster.allocate(job, 0, 7, unhealthy, "round/1")
         replica.enter(AttemptPhase.RUNNING, now)
@@ -132,15 +136,15 @@
         other.enter(AttemptPhase.RUNNING, now)
         workers.quarantine(unhealthy, "it fails tasks")
         await placement.round(now)
-        assert not replica.stopping  # no capacity anywhere: it runs on
+        assert not replica.stopping  # no machine has capacity: the replica runs on
         cluster.release(other, now)
         filler.mark_done(0)
         await placement.round(now + 1.0)
         assert replica.stopping and target.attempts == {}
-        # Until its old attempt is gone, no other job gets the reserved capacity.
-        late = cluster.jobs["j-3"] = Job(spec(id="j-3", tasks=4, priority=0), now)
+        # Until the old attempt is gone, no other job gets the reserved capacity.
+        later_job = cluster.jobs["j-3"] = Job(spec(id="j-3", tasks=4, priority=0), now)
         await placement.round(now + 2.0)
-        assert sorted(late.attempts) == [0, 1]
+        assert sorted(later_job.attempts) == [0, 1]
         cluster.release(replica, now + 3.0)
         await placement.round(now + 3.0)
         assert job.attempts[0].machine == "m-2" and target.free_cpus == 0.0
@@ -152,8 +156,8 @@
 
 
 def test_a_move_of_a_job_that_ended_while_it_was_decided_is_ignored() -> None:
-    """Other coroutines run during a round: a job cancelled and archived meanwhile ended the
-    term."""
+    """Other coroutines run during a round. Regression: a job that was cancelled and archived
+    meanwhile raised an exception, which ended the term."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
@@ -162,20 +166,20 @@
         placement = new_placement(workers, SimpleNamespace(versions={}))
         job = cluster.jobs["j-1"] = Job(spec(daemon=True), now)
         for name in ("m-1", "m-2"):
-            machine_up(cluster, name, "a", now)
+            add_schedulable_machine(cluster, name, "a", now)
         replica = cluster.allocate(job, 0, 7, cluster.machines["m-1"], "round/1")
         replica.enter(AttemptPhase.RUNNING, now)
         workers.quarantine(cluster.machines["m-1"], "it fails tasks")
         decide = placement.decide
 
-        async def decide_and_lose_the_job(at: float) -> Plan:
+        async def decide_then_end_job(at: float) -> Plan:
             plan = await decide(at)
             assert [move.job for move in plan.moves] == ["j-1"]
             cluster.release(replica, at)
             del cluster.jobs["j-1"]
             return plan
 
-        placement.decide = decide_and_lose_the_job  # type: ignore[method-assign]
+        placement.decide = decide_then_end_job  # type: ignore[method-assign]
         await placement.round(now)
         assert list(placement.reservations) == []
 
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -1,4 +1,7 @@
-"""The real planner against a slow plain model that places one task at a time."""
+"""Rules of placement rounds and of scale-out plans.
+
+The planner is also compared with a slow reference planner that places one task at a time.
+"""
 
 from __future__ import annotations
 
@@ -38,7 +41,9 @@
     return MachineView(name, "g", zone, spot, size, size, **more)  # type: ignore[arg-type]
 
 
-def draw(rng: random.Random) -> tuple[list[JobView], list[MachineView], dict[str, Team]]:
+def random_round_input(
+    rng: random.Random,
+) -> tuple[list[JobView], list[MachineView], dict[str, Team]]:
     machines = []
     for i in range(rng.randrange(1, 8)):
         size = rng.choice([(4.0, 0.0, 8.0), (8.0, 2.0, 16.0), (16.0, 4.0, 32.0)])
@@ -68,8 +73,8 @@
     return jobs, machines, {"t": Team("t", gpus_max=3.0), "u": Team("u", cpus_max=12.0)}
 
 
-class Model:
-    """Places one task at a time on the best machine, trying everything anew each time."""
+class ReferencePlanner:
+    """Places one task at a time, on the best of all machines."""
 
     def __init__(self, machines: list[MachineView], teams: dict[str, Team]) -> None:
         self.machines, self.teams = machines, teams
@@ -82,7 +87,9 @@
         free = self.free[m.name]
         return free[0] >= s.cpus and free[1] >= s.gpus and free[2] >= s.ram
 
-    def best(self, s: JobSpec, zones: Counter[str], only: str | None) -> MachineView | None:
+    def best_machine(
+        self, s: JobSpec, zones: Counter[str], only_zone: str | None
+    ) -> MachineView | None:
         def rank(m: MachineView) -> tuple[object, ...]:
             from zlib import crc32
 
@@ -99,28 +106,28 @@
             for m in self.machines
             if self.fits(m, s)
             and (s.zone in (None, m.zone))
-            and (only in (None, m.zone))
+            and (only_zone in (None, m.zone))
             and (s.spot or not m.spot)
             and not (s.spread and zones[m.zone] >= (s.tasks + 1) // 2)
         ]
         return min(options, key=rank, default=None)
 
-    def within(self, s: JobSpec) -> bool:
+    def is_within_limit(self, s: JobSpec) -> bool:
         team, used = self.teams[s.team], self.used[s.team]
         return not (
             (team.cpus_max and used[0] + s.cpus > team.cpus_max)
             or (team.gpus_max and s.gpus and used[1] + s.gpus > team.gpus_max)
         )
 
-    def try_place(self, s: JobSpec, only: str | None) -> list[tuple[str, str]]:
+    def try_place(self, s: JobSpec, only_zone: str | None) -> list[tuple[str, str]]:
         zones: Counter[str] = Counter()
         placed = []
-        while len(placed) < s.tasks and self.within(s):
-            m = self.best(s, zones, only)
+        while len(placed) < s.tasks and self.is_within_limit(s):
+            m = self.best_machine(s, zones, only_zone)
             if m is None:
                 break
             if s.one_zone:
-                only = m.zone
+                only_zone = m.zone
             for i, need in enumerate((s.cpus, s.gpus, s.ram)):
                 self.free[m.name][i] -= need
             self.fetching[m.name].add(s.image)
@@ -136,43 +143,43 @@
             self.assignments.update(self.try_place(s, None))
             return
         options = []
-        names = list(dict.fromkeys(m.zone for m in self.machines))
-        for only in names if s.one_zone else [None]:
+        zones = list(dict.fromkeys(m.zone for m in self.machines))
+        for only_zone in zones if s.one_zone else [None]:
             saved = (
                 {k: list(v) for k, v in self.free.items()},
                 {k: set(v) for k, v in self.fetching.items()},
                 {k: list(v) for k, v in self.used.items()},
             )
-            placed = self.try_place(s, only)
+            placed = self.try_place(s, only_zone)
             if len(placed) == s.tasks:
                 images = {m.name: m.images for m in self.machines}
                 uncached = sum(s.image not in images[name] for _, name in placed)
-                options.append((uncached, str(only), only))
+                options.append((uncached, str(only_zone), only_zone))
             self.free, self.fetching, self.used = saved
         if options:
             self.assignments.update(self.try_place(s, min(options)[2]))
 
 
-def plain_order(job: JobView, machines: list[MachineView]) -> tuple[float, ...]:
+def reference_order(job: JobView, machines: list[MachineView]) -> tuple[float, ...]:
     s, cpus, gpus = job.spec, sum(m.cpus for m in machines), sum(m.gpus for m in machines)
     share = max(s.cpus / cpus, s.gpus / gpus if gpus else 0.0)
     start = job.latest_start + 3.0 * s.tasks * share * s.estimate_s
     return (s.priority, not s.gang, start, s.submitted)
 
 
-def test_the_planner_agrees_with_the_plain_model() -> None:
+def test_the_planner_agrees_with_the_reference_planner() -> None:
     rng = random.Random(3)
     placed = 0
     for _ in range(400):
-        jobs, machines, teams = draw(rng)
-        model = Model(machines, teams)
-        for job in sorted(jobs, key=lambda j: plain_order(j, machines)):
-            model.place(job)
+        jobs, machines, teams = random_round_input(rng)
+        reference = ReferencePlanner(machines, teams)
+        for job in sorted(jobs, key=lambda j: reference_order(j, machines)):
+            reference.place(job)
         plan = make_plan(jobs, machines, teams, {})
         got: Counter[tuple[str, str]] = Counter()
         for start in plan.assignments:
             got[(start.job, start.machine)] += start.count
-        assert got == model.assignments
+        assert got == reference.assignments
         placed += sum(got.values())
     assert placed > 1000
 
@@ -182,7 +189,8 @@
     return Victim(job, 0, "m-0", within_quota=guaranteed, lost_machine_s=1.0, ends_in_s=60.0)
 
 
-def full(priority: int, **more: object) -> MachineView:
+def full_machine(priority: int, **more: object) -> MachineView:
+    """A machine all of whose capacity is used by an attempt of this priority."""
     detail = MachineDetail(victims=[victim("j-9", priority, **more)])  # type: ignore[arg-type]
     view = machine("m-0", (4.0, 0.0, 8.0), load_detail=lambda: detail)
     view.free = [0.0, 0.0, 0.0]
@@ -192,28 +200,32 @@
 TEAMS = {"t": Team("t"), "u": Team("u")}
 
 
-def stops(job: JobView, view: MachineView) -> list[tuple[str, int]]:
+def preempted_tasks(job: JobView, view: MachineView) -> list[tuple[str, int]]:
     return make_plan([job], [view], TEAMS, {}).stops
 
 
 def test_which_work_a_job_may_preempt() -> None:
     high = JobView(spec(priority=1), 1)
-    assert stops(high, full(2)) == [("j-9", 0)]
-    assert stops(high, full(1)) == []
-    assert stops(JobView(spec(priority=1), 1, urgent=False), full(2)) == []
-    # A guarantee reaches other teams' uncovered work of its own priority only: above it,
-    # the two jobs preempted one another in turns, twice a second.
-    assert stops(JobView(spec(), 1, within_quota=True), full(2)) == [("j-9", 0)]
-    assert stops(JobView(spec(), 1, within_quota=True), full(1)) == []
-    assert stops(JobView(spec(), 1, within_quota=True), full(2, guaranteed=True)) == []
-    assert stops(JobView(spec(), 1, within_quota=True), full(2, team="t")) == []
+    assert preempted_tasks(high, full_machine(2)) == [("j-9", 0)]
+    assert preempted_tasks(high, full_machine(1)) == []
+    assert preempted_tasks(JobView(spec(priority=1), 1, urgent=False), full_machine(2)) == []
+    # A job within its team's quota also preempts other teams' work of its own priority that is not
+    # within theirs. If it could preempt work of higher priority as well, the two jobs would preempt
+    # each other in every round.
+    assert preempted_tasks(JobView(spec(), 1, within_quota=True), full_machine(2)) == [("j-9", 0)]
+    assert preempted_tasks(JobView(spec(), 1, within_quota=True), full_machine(1)) == []
+    assert (
+        preempted_tasks(JobView(spec(), 1, within_quota=True), full_machine(2, guaranteed=True))
+        == []
+    )
+    assert preempted_tasks(JobView(spec(), 1, within_quota=True), full_machine(2, team="t")) == []
 
 
 def test_a_machine_is_held_for_a_gang_and_meanwhile_runs_only_short_tasks() -> None:
     gang = JobView(spec(id="j-1", gang=True, cpus=4.0), 1)
     small = JobView(spec(id="j-2", tasks=4, estimate_s=100.0), 4)
     brief = JobView(spec(id="j-3", tasks=1, estimate_s=5.0), 1)
-    view = full(1)
+    view = full_machine(1)
     other = spec(id="j-9", cpus=2.0, gpus=0.0, ram=4.0, priority=1, team="u")
     half = Victim(other, 0, "m-0", within_quota=False, lost_machine_s=1.0, ends_in_s=30.0)
     detail = MachineDetail(victims=[half])
@@ -224,7 +236,7 @@
 
 
 def test_an_urgent_job_preempts_on_a_machine_that_has_its_image_if_the_fetch_is_slow() -> None:
-    cached = full(3)
+    cached = full_machine(3)
     cached.images = {"i"}
     empty = machine("m-1", (4.0, 0.0, 8.0))
     slow = JobView(spec(priority=1), 1, fetch_s=20.0)
@@ -255,39 +267,43 @@
     assert latest_start(job, objectives, 1200.0, 0.0) > 1e6
 
 
-KIND = MachineType("g", 8.0, 0.0, 16.0, 50.0, 1.0, 10.0, 3.0, 30.0, ["a", "b"])
-OFFERS = [MachineOffer(KIND, zone, spot) for zone in "ab" for spot in (True, False)]
+MACHINE_TYPE = MachineType("g", 8.0, 0.0, 16.0, 50.0, 1.0, 10.0, 3.0, 30.0, ["a", "b"])
+OFFERS = [MachineOffer(MACHINE_TYPE, zone, spot) for zone in "ab" for spot in (True, False)]
 
 
-def provisioned(
-    job: JobView, count: int, coming: list[Bin], left: list[Bin]
+def machines_to_provision(
+    job: JobView, count: int, starting: list[Bin], free: list[Bin]
 ) -> Counter[tuple[str, bool]]:
+    """Number of machines by zone and spot."""
     found: Counter[tuple[str, bool]] = Counter()
-    for offer, number in plan_scale_out([(job, count)], coming, left, OFFERS):
+    for offer, number in plan_scale_out([(job, count)], starting, free, OFFERS):
         found[(offer.zone, offer.spot)] += number
     return found
 
 
 def test_new_machines_are_as_many_as_needed_and_in_the_zones_that_the_job_allows() -> None:
     array = JobView(spec(tasks=20), 20)
-    assert provisioned(array, 20, [], []) == {("a", True): 3}
-    assert provisioned(array, 20, [Bin(OFFERS[0])], []) == {("a", True): 2}
-    assert provisioned(JobView(spec(tasks=20, spot=False), 20), 20, [], []) == {("a", False): 3}
-    # Machines for a spread gang were once all provisioned in one zone, again and again.
+    assert machines_to_provision(array, 20, [], []) == {("a", True): 3}
+    assert machines_to_provision(array, 20, [Bin(OFFERS[0])], []) == {("a", True): 2}
+    assert machines_to_provision(JobView(spec(tasks=20, spot=False), 20), 20, [], []) == {
+        ("a", False): 3
+    }
+    # Regression: all machines for a spread gang were provisioned in one zone, repeatedly.
     spread = JobView(spec(gang=True, tasks=4, cpus=8.0, spread=True), 4)
-    assert provisioned(spread, 4, [], []) == {("a", True): 2, ("b", True): 2}
-    # All in the zone that has free capacity already.
+    assert machines_to_provision(spread, 4, [], []) == {("a", True): 2, ("b", True): 2}
+    # The whole gang goes to the zone that already has free or starting capacity.
     together = JobView(spec(gang=True, tasks=3, cpus=8.0, one_zone=True), 3)
-    assert provisioned(together, 3, [], [Bin(OFFERS[2])]) == {("b", True): 3}
-    assert provisioned(together, 3, [Bin(OFFERS[2])], []) == {("b", True): 2}
+    assert machines_to_provision(together, 3, [], [Bin(OFFERS[2])]) == {("b", True): 3}
+    assert machines_to_provision(together, 3, [Bin(OFFERS[2])], []) == {("b", True): 2}
 
 
 def test_free_capacity_that_a_job_may_not_use_does_not_replace_new_machines() -> None:
-    """A zone that the job may not use, or with too little capacity left and no more machines to
-    provision, was once chosen for the job: nothing was provisioned, and it waited for ever."""
+    """Regression: for a job that must stay in one zone, a zone was chosen that the job does not
+    allow, or that has too little capacity and no machines to provision. Nothing was provisioned,
+    and the job waited forever."""
     bound = JobView(spec(gang=True, tasks=3, cpus=8.0, one_zone=True, zone="b"), 3)
     plenty = [Bin(OFFERS[0]) for _ in range(9)]
-    assert provisioned(bound, 3, [], plenty) == {("b", True): 3}
+    assert machines_to_provision(bound, 3, [], plenty) == {("b", True): 3}
     anywhere = JobView(spec(gang=True, tasks=3, cpus=8.0, one_zone=True), 3)
     only_b = plan_scale_out([(anywhere, 3)], [], plenty[:2], OFFERS[2:])
     assert [(offer.zone, count) for offer, count in only_b] == [("b", 3)]
@@ -299,7 +315,8 @@
     gang = JobView(spec(id="j-1", gang=True, tasks=2, cpus=4.0, priority=2), 2, is_starving=True)
     small = JobView(spec(id="j-2", cpus=4.0, priority=1), 1)
     assert [s.job for s in make_plan([small, gang], views, teams, {}).assignments] == ["j-1", "j-1"]
-    # Half of the limit is in use: smaller jobs of the team would use what is left for ever.
+    # Half of the limit is in use: without the reservation, smaller jobs of the team would always
+    # take the other half.
     for view in views:
         view.free = [4.0, 0.0, 8.0]
     gang.pending, small.pending = 2, 1
@@ -311,19 +328,21 @@
 
 
 def test_tasks_leave_capacity_for_a_gang_that_could_not_preempt_them() -> None:
-    """Small tasks had one left of each machine that only the gangs of a class fit on."""
-    shape = spec(id="j-9", gang=True, tasks=3, cpus=4.0, priority=2)
+    """Regression: small tasks filled all but one of the machines that fit the gangs of a class.
+    Machines for all tasks of a recent gang are left free; only one if the gang could preempt the
+    small tasks, and none if their job is urgent."""
+    gang = spec(id="j-9", gang=True, tasks=3, cpus=4.0, priority=2)
     for priority, urgent, started in ((2, False, 8), (3, False, 16), (2, True, 20)):
         views = [machine(f"m-{i}", (4.0, 0.0, 80.0)) for i in range(5)]
         job = JobView(spec(tasks=20, priority=priority), 20, urgent=urgent)
-        current = Round(views, TEAMS, {}, recent_gangs=[shape], lowest_priority=-1)
+        current = Round(views, TEAMS, {}, recent_gangs=[gang], lowest_priority=-1)
         for _ in current.run([job]):
             pass
         assert sum(start.count for start in current.plan.assignments) == started
 
 
 def test_replicas_of_a_job_go_to_different_machines_while_there_are_any() -> None:
-    """And a replica, which never ends by itself, starts on no machine that is held for a gang."""
+    """A replica also starts on no machine held for a gang, since it never ends by itself."""
     views = [machine(f"m-{i}", (4.0, 0.0, 8.0)) for i in range(3)]
     replicas = spec(tasks=4, daemon=True, estimate_s=0.0, priority=0)
     plan = make_plan([JobView(replicas, 4)], views, TEAMS, {})
@@ -338,25 +357,30 @@
     assert MachinePool.may_start_on(held, spec(estimate_s=10.0))
 
 
-def own_victim(name: str, priority: int, gpus: float, at: str = "m-0", task: int = 0) -> Victim:
+def same_team_victim(
+    name: str, priority: int, gpus: float, machine_name: str = "m-0", task: int = 0
+) -> Victim:
     job = spec(id=name, cpus=1.0, gpus=gpus, ram=1.0, priority=priority, team="t")
-    return Victim(job, task, at, within_quota=False, lost_machine_s=gpus, ends_in_s=60.0)
+    return Victim(job, task, machine_name, within_quota=False, lost_machine_s=gpus, ends_in_s=60.0)
 
 
-def at_the_limit(
+def plan_at_the_limit(
     job: JobView,
-    units: list[list[Victim]],
-    leaving: float = 0.0,
+    preemptible: list[list[Victim]],
+    being_freed: float = 0.0,
     others: tuple[JobView, ...] = (),
     free_gpus: float = 8.0,
     used: float = 8.0,
 ) -> Plan:
-    """A round in which so many of the 8 GPUs of the team's limit are in use."""
+    """The plan of a round in which the team uses `used` of the 8 GPUs that its limit allows, and
+    `being_freed` of these are in use by attempts that are being stopped."""
     views = [machine("m-0", (64.0, free_gpus, 64.0)), machine("m-1", (64.0, 0.0, 64.0))]
 
     def team_workload(team: str, priority: int) -> TeamWorkload:
         assert team == "t"
-        return TeamWorkload((0.0, leaving), [u for u in units if u[0].priority > priority])
+        return TeamWorkload(
+            (0.0, being_freed), [unit for unit in preemptible if unit[0].priority > priority]
+        )
 
     teams = {"t": Team("t", gpus_max=8.0)}
     current = Round(
@@ -368,49 +392,53 @@
 
 
 def test_a_job_at_its_team_s_limit_preempts_the_team_s_work_of_lower_priority() -> None:
-    """A job of high priority waited for 376 s while its team's limit was used up by lower work."""
+    """Regression: a high-priority job waited for 376 s while its team's limit was used up by the
+    team's work of lower priority."""
     high = spec(id="j-1", priority=1, gpus=1.0)
-    units = [[own_victim("j-8", 2, 1.0)], [own_victim("j-9", 3, 1.0)]]
-    plan = at_the_limit(JobView(high, 1), units)
+    preemptible = [[same_team_victim("j-8", 2, 1.0)], [same_team_victim("j-9", 3, 1.0)]]
+    plan = plan_at_the_limit(JobView(high, 1), preemptible)
     assert (plan.stops, plan.assignments) == (
         [("j-9", 0)],
         [],
-    )  # what matters least; none starts yet
-    # It is being stopped already: nothing else is preempted for the same capacity.
-    assert at_the_limit(JobView(high, 1), units[:1], leaving=1.0).stops == []
-    # Its equals are left alone, and so is everybody as long as there is time.
-    assert at_the_limit(JobView(high, 1), [[own_victim("j-8", 1, 1.0)]]).stops == []
-    assert at_the_limit(JobView(high, 1, urgent=False), units).stops == []
-    assert at_the_limit(JobView(high, 1, urgent=False, is_canary=True), units).stops == []
+    )  # preempts the lowest priority; the job starts only once the victim is gone
+    # Enough is being stopped already: nothing more is preempted.
+    assert plan_at_the_limit(JobView(high, 1), preemptible[:1], being_freed=1.0).stops == []
+    # Nothing is preempted of equal priority, nor for a job that is not urgent.
+    assert plan_at_the_limit(JobView(high, 1), [[same_team_victim("j-8", 1, 1.0)]]).stops == []
+    assert plan_at_the_limit(JobView(high, 1, urgent=False), preemptible).stops == []
+    assert (
+        plan_at_the_limit(JobView(high, 1, urgent=False, is_canary=True), preemptible).stops == []
+    )
 
 
 def test_nothing_is_preempted_for_a_limit_as_long_as_no_machine_has_capacity() -> None:
     high = JobView(spec(id="j-1", priority=1, gpus=1.0), 1)
-    plan = at_the_limit(high, [[own_victim("j-9", 3, 1.0)]], free_gpus=0.0)
+    plan = plan_at_the_limit(high, [[same_team_victim("j-9", 3, 1.0)]], free_gpus=0.0)
     assert plan.stops == []
     # Machines are provisioned instead.
     assert [(job.spec.id, count) for job, count in plan.unplaced] == [("j-1", 1)]
 
 
 def test_a_gang_preempts_for_the_limit_and_is_preempted_only_as_a_whole() -> None:
-    """All of a gang fits under the limit, or nothing is preempted for it; a gang is preempted as a
-    whole, and what it frees goes to no other job of the team."""
+    """Nothing is preempted for a gang unless all of it then fits under the limit. A gang is
+    preempted as a whole, and the quota that it frees goes to no other job of the team."""
     gang = spec(id="j-1", priority=1, gang=True, tasks=3, gpus=1.0)
-    singles = [[own_victim(f"j-{n}", 2, 1.0)] for n in (7, 8)]
-    assert at_the_limit(JobView(gang, 3), singles).stops == []
-    whole = [own_victim("j-9", 2, 1.0, task=task) for task in range(4)]
+    singles = [[same_team_victim(f"j-{n}", 2, 1.0)] for n in (7, 8)]
+    assert plan_at_the_limit(JobView(gang, 3), singles).stops == []
+    whole = [same_team_victim("j-9", 2, 1.0, task=task) for task in range(4)]
     small = JobView(spec(id="j-2", priority=3, gpus=1.0), 1)
-    plan = at_the_limit(JobView(gang, 3), [whole], others=(small,))
+    plan = plan_at_the_limit(JobView(gang, 3), [whole], others=(small,))
     assert plan.stops == [("j-9", task) for task in range(4)]
     assert plan.assignments == []
-    # One of three is free already: smaller jobs would use it for ever.
-    assert at_the_limit(JobView(gang, 3), [whole], others=(small,), used=7.0).assignments == []
-    # The gang alone is enough: the single task, cheaper but of no help, is left alone.
-    assert at_the_limit(JobView(gang, 3), [*singles[:1], whole]).stops == plan.stops
+    # Quota for one of three tasks is free: a smaller job must not take it.
+    assert plan_at_the_limit(JobView(gang, 3), [whole], others=(small,), used=7.0).assignments == []
+    # Preempting the gang suffices, so the single task is not preempted, although it costs less.
+    assert plan_at_the_limit(JobView(gang, 3), [*singles[:1], whole]).stops == plan.stops
 
 
 def test_the_part_of_the_limit_of_a_lost_replica_stays_reserved_for_it() -> None:
-    """An array of the team used it, also one that was starving and goes before all others."""
+    """Regression: an array of the team used that part of the limit. A starving array, which is
+    placed before all other jobs, must not use it either."""
     replica = spec(id="j-1", daemon=True, tasks=2, priority=0)
     starving = JobView(spec(id="j-2", tasks=4), 4, is_starving=True)
     teams = {"t": Team("t", cpus_max=3.0)}
@@ -431,7 +459,7 @@
     replicas = spec(tasks=2, daemon=True, priority=0, spread=True)
     moving = [MovingReplica(0, "a")]
     views = [machine(f"m-{i}", (1.0, 0.0, 8.0), zone="ab"[i % 2]) for i in range(3)]
-    zones = {"a": 1, "b": 1}  # the one in `a` is to move, and stays in its zone
+    zones = {"a": 1, "b": 1}  # the replica in `a` is to move, within its zone
     job = JobView(replicas, 0, running_zones=zones, replica_machines={"m-9", "m-1"}, moving=moving)
     plan = make_plan([job], views, TEAMS, {})
     assert [(m.job, m.task, m.machine) for m in plan.moves] in (
@@ -439,20 +467,21 @@
         [("j-1", 0, "m-2")],
     )
     assert plan.assignments == plan.stops == []
-    # No capacity: it stays where it is, and counts as unplaced.
+    # Without capacity the replica stays on its machine, and counts as unplaced.
     job = JobView(replicas, 0, running_zones={"a": 1, "b": 1}, moving=moving)
     plan = make_plan([job], [views[1]], TEAMS, {})
     assert plan.moves == [] and [count for _, count in plan.unplaced] == [1]
-    # Work of lower priority is preempted, and the replica still runs.
+    # Work of lower priority is preempted first; the replica runs on until that capacity is free.
     job = JobView(spec(tasks=1, daemon=True, priority=0), 0, moving=moving)
-    plan = make_plan([job], [full(2)], TEAMS, {})
+    plan = make_plan([job], [full_machine(2)], TEAMS, {})
     assert (plan.moves, plan.stops) == ([], [("j-9", 0)])
-    # Gone from its old machine, it starts on the reserved capacity, which no view shows as free.
+    # Once the old attempt is gone, the replica starts on the reserved capacity, which is not part
+    # of the machine's free capacity.
     reserved = machine("m-0", (1.0, 0.0, 8.0))
     reserved.free = [0.0, 0.0, 7.0]
     job = JobView(spec(tasks=1, daemon=True, priority=0), 1, reservations={"m-0": 1})
     assert [s.machine for s in make_plan([job], [reserved], TEAMS, {}).assignments] == ["m-0"]
-    # As long as its limit does not allow it, the capacity stays reserved.
+    # While its team's limit does not allow the replica, the capacity stays reserved for it.
     reserved = machine("m-0", (1.0, 0.0, 8.0))
     reserved.free = [0.0, 0.0, 7.0]
     job = JobView(spec(tasks=1, daemon=True, priority=0), 1, reservations={"m-0": 1})
@@ -461,17 +490,18 @@
     assert make_plan([job, other], [reserved], teams, {"t": [1.0, 0.0]}).assignments == []
 
 
-def test_replicas_of_different_jobs_share_a_machine_only_up_to_a_few() -> None:
-    """One machine's end took a dozen replicas of as many jobs, all with the same image."""
-    full_of_them = machine("m-0", (32.0, 4.0, 256.0), images=["i"], replicas=8)
+def test_replicas_prefer_machines_with_few_replicas_of_other_jobs() -> None:
+    """Regression: replicas of a dozen jobs with the same image ran on one machine, and its loss
+    stopped all of them."""
+    many = machine("m-0", (32.0, 4.0, 256.0), images=["i"], replicas=8)
     few = machine("m-1", (32.0, 4.0, 256.0), images=["i"], replicas=7)
     empty = machine("m-2", (32.0, 4.0, 256.0))
     jobs = [
         JobView(spec(id=f"j-{n}", tasks=1, daemon=True, priority=0, submitted=n), 1)
         for n in range(2)
     ]
-    plan = make_plan(jobs, [full_of_them, few, empty], TEAMS, {})
+    plan = make_plan(jobs, [many, few, empty], TEAMS, {})
     assert [start.machine for start in plan.assignments] == ["m-1", "m-2"]
-    # Where there is no other capacity, they share.
-    plan = make_plan([JobView(jobs[0].spec, 1)], [full_of_them], TEAMS, {})
+    # Without other capacity, they share the machine.
+    plan = make_plan([JobView(jobs[0].spec, 1)], [many], TEAMS, {})
     assert [start.machine for start in plan.assignments] == ["m-0"]
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -1,4 +1,4 @@
-"""Records of rounds: bounded by what runs, whole for a gang, and read by the next leader."""
+"""Records of rounds: their size, the start of gangs stored in several records, and recovery."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 SMALLEST = StateSettings(100.0, 50.0, 2.0, 4)  # 2 KiB a value, 4 changes a transaction
 
 
-def items(store: FakeStore) -> list[KeyValue]:
-    """The records of rounds that are stored."""
+def stored_records(store: FakeStore) -> list[KeyValue]:
+    """The stored records of rounds."""
     return [
         KeyValue(key, value, at)
         for key, (value, at) in store.data.items()
@@ -36,23 +36,23 @@
     ]
 
 
-async def settle() -> None:
-    """Let the writer write all that it was given."""
+async def let_writer_finish() -> None:
+    """Run the event loop until the writer has written all submitted changes."""
     for _ in range(40):
         await asyncio.sleep(0)
 
 
-def test_what_is_stored_of_rounds_is_bounded_by_what_runs() -> None:
-    """Five hours: in each round a replica begins that stays, beside short tasks that end. Its
-    record named them all for as long as it ran."""
+def test_stored_records_of_rounds_are_bounded_by_the_live_attempts() -> None:
+    """Five hours of rounds, each of which starts short tasks and, until all 30 run, a replica.
+    Regression: a record named the ended tasks of its round as long as the replica ran."""
 
     async def run() -> None:
         store: Any = FakeStore()
         store.spare = 50.0
         writer = Writer(store, SMALLEST, lead(), lambda: True, lambda: None)
         writing = asyncio.create_task(writer.run())
-        cluster, events = new_cluster()
-        rounds = events.records = RoundRecords(cluster, writer)
+        cluster, listener = new_cluster()
+        rounds = listener.records = RoundRecords(cluster, writer)
         cluster.machine("m-000001", "", "", False, MachinePhase.UP, 0.0)
         service = cluster.jobs["j-1"] = Job(spec(id="j-1", daemon=True, tasks=30))
         largest = 0
@@ -66,63 +66,67 @@
                 short.append(job_id)
                 assignments.append(Assignment(job_id, "m-000001", 1))
             parts = rounds.write(assignments, now)
-            await settle()
-            largest = max(largest, *(json_size(item.value) for item in items(store)))
+            await let_writer_finish()
+            largest = max(largest, *(json_size(item.value) for item in stored_records(store)))
             assert all(part.stored.done() for part in parts)
             for job_id in short:
                 cluster.release(cluster.jobs[job_id].attempts[0], now + 30.0)
                 del cluster.jobs[job_id]
             rounds.compact(now)
-            await settle()
+            await let_writer_finish()
             if minute > 40:
-                # Of the latest minutes a record may still name what has ended.
-                assert len(items(store)) <= 30 + 2
-                assert sum(json_size(item.value) for item in items(store)) < 30 * 60 + 2 * 2048
+                # Records of the latest minutes may still name ended attempts.
+                assert len(stored_records(store)) <= 30 + 2
+                assert (
+                    sum(json_size(item.value) for item in stored_records(store))
+                    < 30 * 60 + 2 * 2048
+                )
         assert 500 < largest < 2048
-        entries = [entry for item in items(store) for entry in from_record(item.value)]
+        entries = [entry for item in stored_records(store) for entry in from_record(item.value)]
         assert sorted(e.tasks[0][0] for e in entries if e.job == "j-1") == list(range(30))
-        # The next leader reads just these.
-        after = ClusterState(TERM + 1, first_number_of_term(TERM + 1))
-        after.jobs["j-1"] = Job(spec(id="j-1", daemon=True, tasks=30))
-        RoundRecords(after, writer).load(items(store), 0.0)
-        assert len(after.jobs["j-1"].attempts) == 30
+        # The next leader restores the replicas from these records.
+        next_cluster = ClusterState(TERM + 1, first_number_of_term(TERM + 1))
+        next_cluster.jobs["j-1"] = Job(spec(id="j-1", daemon=True, tasks=30))
+        RoundRecords(next_cluster, writer).load(stored_records(store), 0.0)
+        assert len(next_cluster.jobs["j-1"].attempts) == 30
         writer.stop()
         await writing
 
     asyncio.run(run())
 
 
-def test_a_deleted_record_is_not_created_anew_by_its_compaction() -> None:
+def test_a_deleted_record_is_not_recreated_by_its_compaction() -> None:
     async def run() -> None:
         store: Any = FakeStore()
         writer = Writer(store, SMALLEST, lead(), lambda: True, lambda: None)
         writing = asyncio.create_task(writer.run())
-        cluster, events = new_cluster()
-        rounds = events.records = RoundRecords(cluster, writer)
+        cluster, listener = new_cluster()
+        rounds = listener.records = RoundRecords(cluster, writer)
         cluster.machine("m-000001", "", "", False, MachinePhase.UP, 0.0)
         job = cluster.jobs["j-1"] = Job(spec(id="j-1", tasks=8))
         (part,) = rounds.write([Assignment("j-1", "m-000001", 8)], 0.0)
-        await settle()
+        await let_writer_finish()
         for attempt in part.attempts[1:]:
             cluster.release(attempt, 1.0)
         compaction = rounds.compaction_mutation(part.key, 100.0)
         assert compaction is not None
         cluster.release(job.attempts[0], 101.0)
-        await settle()
-        assert items(store) == []
-        writer.queue.append(compaction)  # made before the deletion, committed after it
+        await let_writer_finish()
+        assert stored_records(store) == []
+        writer.queue.append(compaction)  # prepared before the deletion, committed after it
         writer.wake.set()
-        await settle()
+        await let_writer_finish()
         assert compaction.done.exception() is not None
-        assert items(store) == []
+        assert stored_records(store) == []
         writer.stop()
         await writing
 
     asyncio.run(run())
 
 
-def wide_gang(workers: Workers, machines: int) -> Plan:
-    """A gang whose intent no single value of 2 KiB can hold, with a small job before it."""
+def plan_wide_gang(workers: Workers, machines: int) -> Plan:
+    """Add machines, a small job, and a gang whose intent exceeds one value of 2 KiB. Returns their
+    plan."""
     now = workers.loop.time()
     plan = Plan()
     workers.cluster.jobs["j-1"] = Job(spec(id="j-1"))
@@ -139,7 +143,8 @@
 
 @pytest.mark.parametrize("refused", [0, 1, 2])
 def test_a_gang_over_several_records_starts_once_all_are_stored_or_not_at_all(refused: int) -> None:
-    """If one of them could not be stored, the rest started, or held capacity for ever."""
+    """Regression: if one of the records could not be stored, the tasks of the others started, or
+    held capacity forever."""
 
     async def run() -> None:
         workers = new_workers(asyncio.get_running_loop().time())
@@ -152,7 +157,7 @@
         writer: Any = SimpleNamespace(versions={}, submit=submit, value_limit=1740)
         placement = new_placement(workers, writer)
         starting = asyncio.create_task(
-            placement.starter.start(wide_gang(workers, 130).assignments, 0.0)
+            placement.starter.start(plan_wide_gang(workers, 130).assignments, 0.0)
         )
         await asyncio.sleep(0)
         jobs = workers.cluster.jobs
@@ -174,9 +179,9 @@
     asyncio.run(run())
 
 
-def test_a_leader_that_ends_between_the_records_of_a_gang_has_started_nothing_of_it() -> None:
-    """The next one reads the first records only. It starts the gang once it is proven that no
-    machine has a part of it."""
+def test_a_leader_that_ends_before_all_records_of_a_gang_are_stored_starts_none_of_it() -> None:
+    """The next leader reads only the first records. It starts the gang once it is proven that no
+    machine runs a task of it."""
 
     async def run() -> None:
         now = asyncio.get_running_loop().time()
@@ -190,7 +195,7 @@
         writer: Any = SimpleNamespace(
             versions={}, submit=submit, value_limit=1740, defer_delete=lambda key: None
         )
-        plan = wide_gang(before, 130)
+        plan = plan_wide_gang(before, 130)
         starting = asyncio.create_task(
             new_placement(before, writer).starter.start(plan.assignments, now)
         )
@@ -201,7 +206,7 @@
             workers = new_workers(now)
             workers.cluster.term = TERM + 1
             workers.cluster.last_attempt_number = first_number_of_term(TERM + 1)
-            wide_gang(workers, 130)
+            plan_wide_gang(workers, 130)
             gang = workers.cluster.jobs["j-2"]
             placement = new_placement(workers, writer)
             placement.rounds.load(values[:stored], now)
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -1,4 +1,4 @@
-"""What heartbeats show and what they do not: missing acknowledgement, delayed copies, epochs."""
+"""Heartbeats and their answers: acknowledgement, delayed copies, epochs, and commands."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from tests.unit.test_planner import spec
 from tests.unit.test_store import lead
 
-KIND = MachineType("g", 8.0, 0.0, 16.0, 50.0, 1.0, 10.0, 3.0, 30.0, ["a"])
+MACHINE_TYPE = MachineType("g", 8.0, 0.0, 16.0, 50.0, 1.0, 10.0, 3.0, 30.0, ["a"])
 TERM = 5
 
 
@@ -51,15 +51,15 @@
     return Heartbeat(machine, "10.1.0.1:9", "g", "a", False, epoch, seq, seen, None, tasks or [])
 
 
-def running(attempt: Attempt) -> TaskStatus:
+def running_status(attempt: Attempt) -> TaskStatus:
     return TaskStatus(attempt.job.spec.id, 0, attempt.number, TaskState.RUNNING, None, False)
 
 
-class RoundEvents:
-    """Deletes the record of a round that is finished, as a leader does."""
+class RoundListener:
+    """Deletes the records of finished rounds, as a leader does."""
 
     def __init__(self) -> None:
-        self.records: RoundRecords | None = None  # of the placement, once there is one
+        self.records: RoundRecords | None = None  # set once the placement exists
 
     def round_finished(self, key: str) -> None:
         if self.records is not None:
@@ -69,21 +69,21 @@
         pass
 
 
-def new_cluster() -> tuple[ClusterState, RoundEvents]:
-    events = RoundEvents()
-    return ClusterState(TERM, first_number_of_term(TERM), events), events
+def new_cluster() -> tuple[ClusterState, RoundListener]:
+    listener = RoundListener()
+    return ClusterState(TERM, first_number_of_term(TERM), listener), listener
 
 
 def new_workers(now: float) -> Workers:
-    """Those of a leader whose failover was at this time and whose leader lease is valid."""
+    """The workers of a leader whose failover was at `now` and whose leader lease is valid."""
     cluster, _ = new_cluster()
-    cluster.types = {"g": KIND}
+    cluster.types = {"g": MACHINE_TYPE}
     settings = WorkerSettings(5.0, 24.0, 40.0, 4.0, 40.0)
     return Workers(cluster, settings, now, lambda: True, IgnoredEvents(), DeliveryLimits(9))
 
 
 class ActiveLeader:
-    """An active leader that ignores changes of the cluster state."""
+    """Stands in for an active leader; ignores changes of the cluster state."""
 
     def is_active(self) -> bool:
         return True
@@ -95,32 +95,32 @@
 def new_autoscaler(
     workers: Workers, cloud: Any, writer: Any = None, idle_hold_s: float = 1e6
 ) -> Autoscaler:
-    """An autoscaler that keeps idle machines, unless a test says otherwise."""
+    """An autoscaler, which by default never deletes idle machines."""
     params = Params(workers.settings, StateSettings(9, 9, 8, 9), CloudSettings(4, 4), [Team("t")])
     return Autoscaler(workers.cluster, params, cloud, writer, workers, ActiveLeader(), idle_hold_s)
 
 
 def new_placement(workers: Workers, writer: Any) -> Placement:
-    """Placement of an active leader, for a team without limits."""
+    """The placement of an active leader, with one team that has no limits."""
     state = StateSettings(100.0, 50.0, 2.0, 4)
     params = Params(workers.settings, state, CloudSettings(4.0, 4.0), [Team("t")])
     demand: Any = SimpleNamespace(note_unplaced=lambda plan: None)
     placement = Placement(
         workers.cluster, params, writer, workers, lambda: 0.0, lambda: True, [demand]
     )
-    events: Any = workers.cluster.listener
-    events.records = placement.rounds
+    listener: Any = workers.cluster.listener
+    listener.records = placement.rounds
     return placement
 
 
-def play(test: Callable[[Workers], None]) -> None:
+def run_test(test: Callable[[Workers], None]) -> None:
     async def run() -> None:
         test(new_workers(0.0))
 
     asyncio.run(run())
 
 
-def confirmed_machine(workers: Workers) -> Machine:
+def add_confirmed_machine(workers: Workers) -> Machine:
     """A confirmed machine: its second heartbeat has shown a fencing token of this term."""
     workers.handle_heartbeat(report(1, 1, 0), 1.0)
     workers.tick(2.0)
@@ -128,7 +128,7 @@
     return workers.cluster.machines["m-1"]
 
 
-def sent_attempt(workers: Workers, number: int) -> Attempt:
+def add_sent_attempt(workers: Workers, number: int) -> Attempt:
     """An attempt on m-1 whose start command was sent."""
     job = workers.cluster.jobs["j-1"] = Job(spec(id="j-1"))
     machine = workers.cluster.machine("m-1", "g", "a", False, MachinePhase.RECOVERED, 0.0)
@@ -139,7 +139,7 @@
 
 def test_a_machine_that_does_not_acknowledge_answers_takes_no_new_work() -> None:
     def test(workers: Workers) -> None:
-        machine = confirmed_machine(workers)
+        machine = add_confirmed_machine(workers)
         assert machine.is_schedulable
         workers.tick(7.0)
         assert workers.handle_heartbeat(report(1, 3, workers.fencing_token - 1), 11.0)[0] == 200
@@ -149,19 +149,19 @@
         workers.handle_heartbeat(report(1, 4, answered - 1), 17.0)
         assert not machine.is_schedulable
         assert machine.unacknowledged_since == 11.0
-        # Its epoch rises since its lease expired; that alone acknowledges nothing.
+        # The epoch rises since the worker's lease expired; that alone acknowledges no answer.
         workers.handle_heartbeat(report(2, 5, answered - 1), 35.0)
         assert not machine.is_schedulable
         workers.tick(36.0)
         workers.handle_heartbeat(report(2, 6, workers.fencing_token), 40.0)
         assert machine.is_schedulable
 
-    play(test)
+    run_test(test)
 
 
 def test_a_leader_whose_answers_are_lost_while_others_get_heartbeats_is_partitioned() -> None:
     def test(workers: Workers) -> None:
-        machine = confirmed_machine(workers)
+        machine = add_confirmed_machine(workers)
         workers.tick(7.0)
         workers.health.heartbeats_elsewhere = lambda: {"m-1": (1, 3)}
         assert not workers.health.is_partitioned(7.0)
@@ -169,18 +169,20 @@
         assert machine.unacknowledged_since == 6.0
         assert not workers.health.is_partitioned(
             8.0
-        )  # its heartbeat to the other controller is older
+        )  # the heartbeat to the other controller is older
         workers.health.heartbeats_elsewhere = lambda: {"m-1": (1, 5)}
         assert workers.health.is_partitioned(8.0)
 
-    play(test)
+    run_test(test)
 
 
 def test_a_delayed_copy_of_a_heartbeat_renews_no_lease() -> None:
     def test(workers: Workers) -> None:
-        machine = confirmed_machine(workers)
-        attempt = sent_attempt(workers, workers.cluster.new_attempt_number())
-        workers.handle_heartbeat(report(1, 3, workers.fencing_token, [running(attempt)]), 10.0)
+        machine = add_confirmed_machine(workers)
+        attempt = add_sent_attempt(workers, workers.cluster.new_attempt_number())
+        workers.handle_heartbeat(
+            report(1, 3, workers.fencing_token, [running_status(attempt)]), 10.0
+        )
         for copy in (
             report(1, 2, workers.fencing_token),
             report(1, 3, workers.fencing_token),
@@ -195,28 +197,30 @@
         assert workers.handle_heartbeat(report(1, 9, workers.fencing_token), 41.0) == (503, None)
         assert not workers.cluster.machines
 
-    play(test)
+    run_test(test)
 
 
-def test_a_delayed_copy_of_an_earlier_epoch_that_comes_first_releases_nothing() -> None:
-    """After a failover there is nothing to compare it with; the current heartbeat follows."""
+def test_a_delayed_heartbeat_of_an_earlier_epoch_that_arrives_first_releases_no_attempt() -> None:
+    """A new leader has no earlier heartbeat to compare it with; the current one arrives later."""
 
     def test(workers: Workers) -> None:
-        attempt = sent_attempt(workers, first_number_of_term(TERM - 1) + 1)  # runs in epoch 2
+        attempt = add_sent_attempt(workers, first_number_of_term(TERM - 1) + 1)  # runs in epoch 2
         workers.handle_heartbeat(report(1, 9, fencing_token(TERM - 1, 3)), 1.0)
         assert attempt.phase is AttemptPhase.SENT
-        workers.handle_heartbeat(report(2, 12, fencing_token(TERM - 1, 8), [running(attempt)]), 2.0)
+        workers.handle_heartbeat(
+            report(2, 12, fencing_token(TERM - 1, 8), [running_status(attempt)]), 2.0
+        )
         assert attempt.phase is AttemptPhase.RUNNING
-        # Seen in epoch 2, it is gone in epoch 3, whatever token that heartbeat shows.
+        # Reported in epoch 2, the attempt is gone in epoch 3, whatever the fencing token.
         workers.handle_heartbeat(report(3, 20, fencing_token(TERM - 1, 8)), 30.0)
         assert attempt.phase is AttemptPhase.GONE
 
-    play(test)
+    run_test(test)
 
 
-def test_a_stopped_attempt_is_absent_only_once_its_direct_start_cannot_arrive() -> None:
+def test_a_stopped_attempt_is_gone_only_once_its_direct_start_cannot_arrive() -> None:
     def test(workers: Workers) -> None:
-        machine = confirmed_machine(workers)
+        machine = add_confirmed_machine(workers)
         job = workers.cluster.jobs["j-1"] = Job(spec(id="j-1"))
         number = workers.cluster.new_attempt_number()
         attempt = workers.cluster.allocate(job, 0, number, machine, "round/1")
@@ -228,17 +232,17 @@
         sent_token = workers.fencing_token
         workers.tick(8.0)
         workers.handle_heartbeat(report(1, 3, sent_token), 11.0)
-        assert attempt.phase is AttemptPhase.SENT  # the worker may still carry it out
+        assert attempt.phase is AttemptPhase.SENT  # the worker may still carry out the start
         workers.handle_heartbeat(report(1, 4, workers.fencing_token), 16.0)
-        assert attempt.phase is AttemptPhase.GONE  # it refuses the start by now
+        assert attempt.phase is AttemptPhase.GONE  # the worker refuses the start from now on
         workers.close()
 
-    play(test)
+    run_test(test)
 
 
 def test_unknown_tasks_are_stopped_with_every_answer() -> None:
     def test(workers: Workers) -> None:
-        confirmed_machine(workers)
+        add_confirmed_machine(workers)
         unknown = TaskStatus(
             "j-9", 3, workers.lowest_fencing_token + 7, TaskState.RUNNING, None, False
         )
@@ -256,15 +260,15 @@
         response = workers.handle_heartbeat(report(1, 5, workers.fencing_token), 25.0)
         assert response.body == {"mandate": workers.fencing_token, "writs": []}
 
-    play(test)
+    run_test(test)
 
 
 def test_an_exit_is_forgotten_once_its_start_cannot_arrive() -> None:
     def test(workers: Workers) -> None:
-        confirmed_machine(workers)
+        add_confirmed_machine(workers)
         number = (
             workers.lowest_fencing_token + 7
-        )  # of this term, but not in the cluster state any more
+        )  # of this term, but no longer in the cluster state
         ended = TaskStatus("j-9", 3, number, TaskState.EXITED, ExitReason.ERROR, False)
         forget = {"writ": "forget", "parcel": "j-9/3", "try": number}
         token = workers.fencing_token
@@ -274,7 +278,7 @@
         response = workers.handle_heartbeat(report(1, 4, token, [ended]), 11.0)
         assert response.body == {"mandate": workers.fencing_token, "writs": [forget]}
 
-    play(test)
+    run_test(test)
 
 
 def test_deferrable_commands_are_sent_directly_only_within_their_rate_limit() -> None:
@@ -291,13 +295,13 @@
         assert len(workers.delivery.requests_in_flight) == len(machines)
         workers.close()
 
-    play(test)
+    run_test(test)
 
 
 def test_an_unchanged_task_status_is_skipped_but_its_change_or_absence_is_applied() -> None:
     def test(workers: Workers) -> None:
-        machine = confirmed_machine(workers)
-        attempt = sent_attempt(workers, workers.cluster.new_attempt_number())
+        machine = add_confirmed_machine(workers)
+        attempt = add_sent_attempt(workers, workers.cluster.new_attempt_number())
         wire = {"parcel": "j-1/0", "try": attempt.number, "standing": "running"}
         raw = {"hall": "m-1", "endpoint": "10.1.0.1:9", "build": "g", "ward": "a", "tenure": 1}
 
@@ -314,7 +318,7 @@
         receive(15, [])
         assert attempt.phase is AttemptPhase.GONE
 
-    play(test)
+    run_test(test)
 
 
 def test_machines_that_acknowledge_nothing_or_fall_silent_are_deleted() -> None:
@@ -324,7 +328,7 @@
         def to_delete(now: float) -> list[str]:
             return [m.name for m in autoscaler.scale_in.machines_to_delete(now)]
 
-        machine = confirmed_machine(workers)  # its latest answer was given at 6 s
+        machine = add_confirmed_machine(workers)  # its latest answer was given at 6 s
         for number in range(2, 6):  # others, so that this leader is not partitioned
             for seq, at in ((1, 1.0), (2, 6.0)):
                 workers.handle_heartbeat(
@@ -340,16 +344,17 @@
                 if other.name != "m-9":
                     other.last_heard = now
         assert to_delete(20.0) == []
-        assert to_delete(21.0) == ["m-1"]  # unacknowledged for more than lost_s()
-        # Only one heartbeat, under an old fencing token: it is silent, then taken as gone.
+        assert to_delete(21.0) == ["m-1"]  # unacknowledged for more than lost_after_s()
+        # m-9 sent only one heartbeat, with an old fencing token, and counts as lost once silent.
         assert to_delete(23.0) == ["m-1", "m-9"]
 
-    play(test)
+    run_test(test)
 
 
 def test_cached_images_of_many_machines_share_few_records_and_are_restored() -> None:
-    """Regression: one record for each machine cost hundreds of writes when all fetched a new
-    image; with too few images in a record, machines fetched them again after a failover."""
+    """Regression: with one record for each machine, a new image that all machines fetched cost
+    hundreds of writes. With too few images in a record, machines fetched them again after a
+    failover."""
 
     async def run() -> None:
         store = StateSettings(100.0, 50.0, 8.0, 12)
@@ -363,16 +368,16 @@
             caches.schedule_write(machine)
         records = [make() for make in writer.deferred.factories.values()]
         assert len(records) == constants.IMAGE_CACHE_RECORDS
-        later = ImageCacheRecords(
+        restored = ImageCacheRecords(
             workers.cluster, Writer(None, store, lead(), lambda: True, lambda: None)
         )  # type: ignore[arg-type]
         puts = [op for change in records if change is not None for op in change.ops]
         assert all(json_size(op.value) <= 8 * 1024 for op in puts)  # type: ignore[union-attr]
-        later.load([KeyValue(op.key, op.value, 7) for op in puts])  # type: ignore[union-attr]
+        restored.load([KeyValue(op.key, op.value, 7) for op in puts])  # type: ignore[union-attr]
         for number in range(900):
             machine = workers.cluster.machines[f"m-{number}"]
             machine.images.clear()
-            later.restore(machine)
+            restored.restore(machine)
             assert "img-19" in machine.images  # the most recently used
             assert len(machine.images) >= 12
 
@@ -380,7 +385,7 @@
 
 
 def test_answers_carry_at_most_as_many_commands_as_a_message_may_hold() -> None:
-    """Hundreds of tiny tasks on one machine: the next answer carries the starts that are left."""
+    """With hundreds of small tasks on one machine, the next answer carries the remaining starts."""
 
     async def run() -> None:
         workers = new_workers(0.0)
@@ -419,12 +424,12 @@
 
 
 def test_a_replica_is_never_done_and_its_task_is_pending_again() -> None:
-    """Whatever exit reason is reported. On a draining machine it runs until its replacement is
-    reserved (tests/unit/test_placement.py)."""
+    """This holds even for the exit reason DONE. On a draining machine a replica runs until capacity
+    for its replacement is reserved; see tests/unit/test_placement.py."""
 
     def test(workers: Workers) -> None:
         now = workers.loop.time()
-        machine = confirmed_machine(workers)
+        machine = add_confirmed_machine(workers)
         job = workers.cluster.jobs["j-1"] = Job(spec(tasks=2, daemon=True), now)
         first, second = (
             workers.cluster.allocate(
@@ -444,4 +449,4 @@
         assert machine.phase is MachinePhase.DRAINING
         assert not second.stopping
 
-    play(test)
+    run_test(test)
