--- a/tests/unit/test_cells.py
+++ b/tests/unit/test_cells.py
@@ -50,7 +50,7 @@
 def test_the_lease_of_a_handoff_expires_at_the_borrower_before_the_home_cell(
     way_s: float, drift: float
 ) -> None:
-    """Holds whichever clock is faster. `way_s` is the delay of the heartbeat that renews the lease."""
+    """Holds whichever clock is faster. `way_s`: delay of the heartbeat that renews the lease."""
     lease_s, task_expiry_s = 600.0, 25.0
     borrower = HeldLease(lease_s, 0.0)
     home = GrantedLease(lease_s, task_expiry_s, 0.0)
