--- a/tests/unit/test_autoscaling.py
+++ b/tests/unit/test_autoscaling.py
@@ -15,7 +15,7 @@
 from peathall.protocol.cloud import ListedMachine, MachineState
 from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
-from tests.unit.test_workers import new_autoscaler, new_workers, report
+from tests.unit.test_workers import make_heartbeat, new_autoscaler, new_workers
 
 
 class FakeCloud:
@@ -68,7 +68,7 @@
     """Add a machine that is up and has acknowledged an answer."""
     for seq in (1, 2):
         workers.handle_heartbeat(
-            report(1, seq, workers.lowest_fencing_token, machine=f"m-{number}"), now
+            make_heartbeat(1, seq, workers.lowest_fencing_token, machine=f"m-{number}"), now
         )
     return workers.cluster.machines[f"m-{number}"]
 
@@ -150,7 +150,8 @@
                 machine = workers.cluster.machines[f"m-{number}"]
                 seq = machine.sequence + 1
                 workers.handle_heartbeat(
-                    report(1, seq, workers.fencing_token, machine=machine.name), now + second
+                    make_heartbeat(1, seq, workers.fencing_token, machine=machine.name),
+                    now + second,
                 )
         assert idle.is_schedulable
         assert "m-4" not in workers.cluster.machines
@@ -164,7 +165,8 @@
                 machine = workers.cluster.machines[f"m-{number}"]
                 seq = machine.sequence + 1
                 workers.handle_heartbeat(
-                    report(1, seq, workers.fencing_token, machine=machine.name), now + second
+                    make_heartbeat(1, seq, workers.fencing_token, machine=machine.name),
+                    now + second,
                 )
         assert [m.name for m in autoscaler.scale_in.machines_to_delete(now + 30.0)] == ["m-4"]
 
@@ -183,14 +185,16 @@
         resumed = now + 29.0
         for machine in machines[:4]:
             workers.handle_heartbeat(
-                report(1, 3, workers.fencing_token, machine=machine.name), resumed
+                make_heartbeat(1, 3, workers.fencing_token, machine=machine.name), resumed
             )
         assert not autoscaler.scale_in.machines_to_delete(resumed + 0.1)
         assert not workers.health.is_partitioned(resumed + 0.1)
         for second in range(1, 17):
             workers.tick(resumed + second)
             for machine in machines[:9]:
-                seen = report(1, machine.sequence + 1, workers.fencing_token, machine=machine.name)
+                seen = make_heartbeat(
+                    1, machine.sequence + 1, workers.fencing_token, machine=machine.name
+                )
                 workers.handle_heartbeat(seen, resumed + second)
         assert [m.name for m in autoscaler.scale_in.machines_to_delete(resumed + 16.5)] == [
             machines[9].name
@@ -245,10 +249,10 @@
 
     async def test(autoscaler: Autoscaler, workers: Workers, cloud: FakeCloud) -> None:
         now = asyncio.get_running_loop().time()
-        workers.handle_heartbeat(report(1, 1, 0, machine="m-1"), now)
+        workers.handle_heartbeat(make_heartbeat(1, 1, 0, machine="m-1"), now)
         assert not autoscaler.scale_in.machines_to_delete(now + 4.0)
         workers.handle_heartbeat(
-            report(1, 2, workers.lowest_fencing_token, machine="m-1"), now + 5.0
+            make_heartbeat(1, 2, workers.lowest_fencing_token, machine="m-1"), now + 5.0
         )
         assert [m.name for m in autoscaler.scale_in.machines_to_delete(now + 5.1)] == ["m-1"]
 
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -14,7 +14,7 @@
 from peathall.http.client import NoAnswerError
 from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
-from tests.unit.test_workers import new_autoscaler, new_workers, report
+from tests.unit.test_workers import make_heartbeat, new_autoscaler, new_workers
 
 LAST_HEARTBEAT_S = 6.0  # time of the latest heartbeat of the silent machine
 
@@ -53,7 +53,7 @@
         for number in range(1, 11):
             for seq, at in ((1, 1.0), (2, LAST_HEARTBEAT_S)):
                 workers.handle_heartbeat(
-                    report(1, seq, workers.lowest_fencing_token, machine=f"m-{number}"), at
+                    make_heartbeat(1, seq, workers.lowest_fencing_token, machine=f"m-{number}"), at
                 )
             workers.cluster.machines[f"m-{number}"].addr = f"10.1.0.{number}:9000"
         silent = workers.cluster.machines["m-1"]
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -22,7 +22,7 @@
 from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
 from tests.unit.test_store import FakeStore, lead
-from tests.unit.test_workers import TERM, new_cluster, new_placement, new_workers, report
+from tests.unit.test_workers import TERM, make_heartbeat, new_cluster, new_placement, new_workers
 
 SMALLEST = StateSettings(100.0, 50.0, 2.0, 4)  # 2 KiB a value, 4 changes a transaction
 
@@ -219,7 +219,10 @@
                 )
                 for name in list(workers.cluster.machines):
                     workers.handle_heartbeat(
-                        report(1, seq, workers.lowest_fencing_token * (seq - 1), machine=name), now
+                        make_heartbeat(
+                            1, seq, workers.lowest_fencing_token * (seq - 1), machine=name
+                        ),
+                        now,
                     )
                 workers.tick(now)
             assert gang.attempts == {}
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -45,7 +45,7 @@
 TERM = 5
 
 
-def report(
+def make_heartbeat(
     epoch: int, seq: int, seen: int, tasks: list[TaskStatus] | None = None, machine: str = "m-1"
 ) -> Heartbeat:
     return Heartbeat(machine, "10.1.0.1:9", "g", "a", False, epoch, seq, seen, None, tasks or [])
@@ -122,9 +122,9 @@
 
 def add_confirmed_machine(workers: Workers) -> Machine:
     """A confirmed machine: its second heartbeat has shown a fencing token of this term."""
-    workers.handle_heartbeat(report(1, 1, 0), 1.0)
+    workers.handle_heartbeat(make_heartbeat(1, 1, 0), 1.0)
     workers.tick(2.0)
-    workers.handle_heartbeat(report(1, 2, workers.lowest_fencing_token), 6.0)
+    workers.handle_heartbeat(make_heartbeat(1, 2, workers.lowest_fencing_token), 6.0)
     return workers.cluster.machines["m-1"]
 
 
@@ -142,18 +142,21 @@
         machine = add_confirmed_machine(workers)
         assert machine.is_schedulable
         workers.tick(7.0)
-        assert workers.handle_heartbeat(report(1, 3, workers.fencing_token - 1), 11.0)[0] == 200
+        assert (
+            workers.handle_heartbeat(make_heartbeat(1, 3, workers.fencing_token - 1), 11.0)[0]
+            == 200
+        )
         assert machine.is_schedulable  # it has received the answer to its previous heartbeat
         answered = workers.fencing_token
         workers.tick(12.0)
-        workers.handle_heartbeat(report(1, 4, answered - 1), 17.0)
+        workers.handle_heartbeat(make_heartbeat(1, 4, answered - 1), 17.0)
         assert not machine.is_schedulable
         assert machine.unacknowledged_since == 11.0
         # The epoch rises since the worker's lease expired; that alone acknowledges no answer.
-        workers.handle_heartbeat(report(2, 5, answered - 1), 35.0)
+        workers.handle_heartbeat(make_heartbeat(2, 5, answered - 1), 35.0)
         assert not machine.is_schedulable
         workers.tick(36.0)
-        workers.handle_heartbeat(report(2, 6, workers.fencing_token), 40.0)
+        workers.handle_heartbeat(make_heartbeat(2, 6, workers.fencing_token), 40.0)
         assert machine.is_schedulable
 
     run_test(test)
@@ -165,7 +168,7 @@
         workers.tick(7.0)
         workers.health.heartbeats_elsewhere = lambda: {"m-1": (1, 3)}
         assert not workers.health.is_partitioned(7.0)
-        workers.handle_heartbeat(report(1, 4, 0), 8.0)
+        workers.handle_heartbeat(make_heartbeat(1, 4, 0), 8.0)
         assert machine.unacknowledged_since == 6.0
         assert not workers.health.is_partitioned(
             8.0
@@ -181,12 +184,12 @@
         machine = add_confirmed_machine(workers)
         attempt = add_sent_attempt(workers, workers.cluster.new_attempt_number())
         workers.handle_heartbeat(
-            report(1, 3, workers.fencing_token, [running_status(attempt)]), 10.0
+            make_heartbeat(1, 3, workers.fencing_token, [running_status(attempt)]), 10.0
         )
         for copy in (
-            report(1, 2, workers.fencing_token),
-            report(1, 3, workers.fencing_token),
-            report(0, 9, 0),
+            make_heartbeat(1, 2, workers.fencing_token),
+            make_heartbeat(1, 3, workers.fencing_token),
+            make_heartbeat(0, 9, 0),
         ):
             assert workers.handle_heartbeat(copy, 30.0) == (503, None)
         assert (machine.lease_renewed_at, machine.last_heard) == (10.0, 10.0)
@@ -194,7 +197,10 @@
         workers.tick(10.0 + workers.settings.lease_expiry_s + 0.1)
         assert attempt.phase is AttemptPhase.GONE
         workers.machine_gone(machine, 40.0, "deleted")
-        assert workers.handle_heartbeat(report(1, 9, workers.fencing_token), 41.0) == (503, None)
+        assert workers.handle_heartbeat(make_heartbeat(1, 9, workers.fencing_token), 41.0) == (
+            503,
+            None,
+        )
         assert not workers.cluster.machines
 
     run_test(test)
@@ -205,14 +211,14 @@
 
     def test(workers: Workers) -> None:
         attempt = add_sent_attempt(workers, first_number_of_term(TERM - 1) + 1)  # runs in epoch 2
-        workers.handle_heartbeat(report(1, 9, fencing_token(TERM - 1, 3)), 1.0)
+        workers.handle_heartbeat(make_heartbeat(1, 9, fencing_token(TERM - 1, 3)), 1.0)
         assert attempt.phase is AttemptPhase.SENT
         workers.handle_heartbeat(
-            report(2, 12, fencing_token(TERM - 1, 8), [running_status(attempt)]), 2.0
+            make_heartbeat(2, 12, fencing_token(TERM - 1, 8), [running_status(attempt)]), 2.0
         )
         assert attempt.phase is AttemptPhase.RUNNING
         # Reported in epoch 2, the attempt is gone in epoch 3, whatever the fencing token.
-        workers.handle_heartbeat(report(3, 20, fencing_token(TERM - 1, 8)), 30.0)
+        workers.handle_heartbeat(make_heartbeat(3, 20, fencing_token(TERM - 1, 8)), 30.0)
         assert attempt.phase is AttemptPhase.GONE
 
     run_test(test)
@@ -231,9 +237,9 @@
         workers.stop(attempt, 0.0, 7.0)
         sent_token = workers.fencing_token
         workers.tick(8.0)
-        workers.handle_heartbeat(report(1, 3, sent_token), 11.0)
+        workers.handle_heartbeat(make_heartbeat(1, 3, sent_token), 11.0)
         assert attempt.phase is AttemptPhase.SENT  # the worker may still carry out the start
-        workers.handle_heartbeat(report(1, 4, workers.fencing_token), 16.0)
+        workers.handle_heartbeat(make_heartbeat(1, 4, workers.fencing_token), 16.0)
         assert attempt.phase is AttemptPhase.GONE  # the worker refuses the start from now on
         workers.close()
 
@@ -253,11 +259,11 @@
             "leave_s": 0.0,
         }
         for sequence in (3, 4):
-            heartbeat = report(1, sequence, workers.fencing_token, [unknown])
+            heartbeat = make_heartbeat(1, sequence, workers.fencing_token, [unknown])
             response = workers.handle_heartbeat(heartbeat, 5.0 * sequence)
             assert response.status == 200
             assert response.body == {"mandate": workers.fencing_token, "writs": [stop]}
-        response = workers.handle_heartbeat(report(1, 5, workers.fencing_token), 25.0)
+        response = workers.handle_heartbeat(make_heartbeat(1, 5, workers.fencing_token), 25.0)
         assert response.body == {"mandate": workers.fencing_token, "writs": []}
 
     run_test(test)
@@ -272,10 +278,10 @@
         ended = TaskStatus("j-9", 3, number, TaskState.EXITED, ExitReason.ERROR, False)
         forget = {"writ": "forget", "parcel": "j-9/3", "try": number}
         token = workers.fencing_token
-        response = workers.handle_heartbeat(report(1, 3, token, [ended]), 7.0)
+        response = workers.handle_heartbeat(make_heartbeat(1, 3, token, [ended]), 7.0)
         assert response.body == {"mandate": token, "writs": []}
         workers.tick(8.0)
-        response = workers.handle_heartbeat(report(1, 4, token, [ended]), 11.0)
+        response = workers.handle_heartbeat(make_heartbeat(1, 4, token, [ended]), 11.0)
         assert response.body == {"mandate": workers.fencing_token, "writs": [forget]}
 
     run_test(test)
@@ -285,7 +291,7 @@
     def test(workers: Workers) -> None:
         machines = []
         for number in range(3 * int(constants.DEFERRABLE_COMMANDS_PER_S)):
-            workers.handle_heartbeat(report(1, 1, 0, machine=f"m-{number}"), 1.0)
+            workers.handle_heartbeat(make_heartbeat(1, 1, 0, machine=f"m-{number}"), 1.0)
             machines.append(workers.cluster.machines[f"m-{number}"])
         for machine in machines:
             workers.delivery.push(machine, deferrable=True)
@@ -332,11 +338,11 @@
         for number in range(2, 6):  # others, so that this leader is not partitioned
             for seq, at in ((1, 1.0), (2, 6.0)):
                 workers.handle_heartbeat(
-                    report(1, seq, workers.fencing_token, machine=f"m-{number}"), at
+                    make_heartbeat(1, seq, workers.fencing_token, machine=f"m-{number}"), at
                 )
         workers.tick(7.0)
-        workers.handle_heartbeat(report(1, 9, 0, machine="m-9"), 8.0)
-        workers.handle_heartbeat(report(1, 3, 0), 8.0)
+        workers.handle_heartbeat(make_heartbeat(1, 9, 0, machine="m-9"), 8.0)
+        workers.handle_heartbeat(make_heartbeat(1, 3, 0), 8.0)
         assert machine.unacknowledged_since == 6.0
         for now in range(8, 20):
             workers.tick(now)
@@ -389,9 +395,9 @@
 
     async def run() -> None:
         workers = new_workers(0.0)
-        workers.handle_heartbeat(report(1, 1, 0), 1.0)
+        workers.handle_heartbeat(make_heartbeat(1, 1, 0), 1.0)
         workers.tick(2.0)
-        workers.handle_heartbeat(report(1, 2, workers.lowest_fencing_token), 6.0)
+        workers.handle_heartbeat(make_heartbeat(1, 2, workers.lowest_fencing_token), 6.0)
         machine = workers.cluster.machines["m-1"]
         job = workers.cluster.jobs["j-123456"] = Job(spec(id="j-123456", tasks=9999, cpus=0.001))
         view = MachineView("m-1", "g", "a", False, (8.0, 0.0, 16.0), (8.0, 0.0, 16.0))
@@ -412,7 +418,7 @@
                 for x in commands
             ]  # fmt: skip
             answer = workers.handle_heartbeat(
-                report(1, seq, workers.fencing_token, seen), 5.0 + seq
+                make_heartbeat(1, seq, workers.fencing_token, seen), 5.0 + seq
             )[1]
             assert answer is not None
             assert json_size(answer) < 60 * 1024
