--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -180,7 +180,7 @@
         jobs = leader(store, 1, listener=listener)
         async with writing(jobs):
             await jobs.accept(spec(id="j-1", tasks=2, team="t"))
-            store.lose = [True] + [False] * 3
+            store.lost_responses = [True] + [False] * 3
             cancelling = asyncio.create_task(jobs.cancel("j-1"))
             await asyncio.sleep(0)
             job = jobs.cluster.jobs["j-1"]
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -1,4 +1,4 @@
-"""The writer with unknown outcomes, rate limits, the leader lease, and the split of records."""
+"""The writer when outcomes of commits are unknown, rate limits, the leader lease, record sizes."""
 
 from __future__ import annotations
 
@@ -36,15 +36,17 @@
 
 
 class FakeStore:
-    """A state service in memory. Commits listed in `lose` get no response, carried out or not."""
+    """An in-memory state service that can leave commits without a response."""
 
     def __init__(self) -> None:
         self.data: dict[str, tuple[Any, int]] = {"lead": ({"member": "a"}, 1)}
         self.revision = 1
-        self.spare = 12.0  # changes that deferred writes may make
-        self.forgotten = 0  # changes up to this revision are not reported to watches any more
-        self.lose: list[bool] = []  # for each coming commit without a response: carried out?
-        self.under_way: list[tuple[dict[str, int], list[Any]]] = []  # those that were not, yet
+        self.spare = 12.0  # operations that deferred writes may use now
+        self.first_reported_after = 0  # watches report only changes after this revision
+        # One entry for each of the next commits, which get no response: whether it is carried out.
+        self.lost_responses: list[bool] = []
+        # Conditions and operations of the commits without a response that are not carried out yet.
+        self.pending_commits: list[tuple[dict[str, int], list[Any]]] = []
         self.commits = 0
 
     def spare_writes(self) -> float:
@@ -59,7 +61,7 @@
         return found, self.revision
 
     async def changes_since(self, prefix: str, after: int) -> tuple[int, list[Any]] | None:
-        if after < self.forgotten:
+        if after < self.first_reported_after:
             return None
         return self.revision, [
             WatchEvent(k, at, v, v is None)
@@ -68,7 +70,7 @@
         ]
 
     def write(self, key: str, value: Any) -> None:
-        """Watches report a deletion if the value is None."""
+        """Store a value; None counts as deleted, and watches report a deletion."""
         self.revision += 1
         self.data[key] = (value, self.revision)
 
@@ -86,11 +88,11 @@
 
     async def commit(self, conditions: dict[str, int], ops: list[Any]) -> int:
         self.commits += 1
-        if self.lose:
-            if self.lose.pop(0):
+        if self.lost_responses:
+            if self.lost_responses.pop(0):
                 self.apply(conditions, ops)
             else:
-                self.under_way.append((dict(conditions), list(ops)))
+                self.pending_commits.append((dict(conditions), list(ops)))
             raise OutcomeUnknownError("no answer")
         return self.apply(conditions, ops)
 
@@ -110,7 +112,7 @@
 
 @asynccontextmanager
 async def running(writer: Writer) -> AsyncIterator[None]:
-    """While the writer runs; it is stopped afterwards."""
+    """Run the writer inside the block and stop it afterwards."""
     task = asyncio.create_task(writer.run())
     yield
     writer.stop()
@@ -118,7 +120,7 @@
 
 
 def write_all(store: FakeStore, puts: list[Put]) -> list[Any]:
-    """The result of each put: a revision or an error."""
+    """Submit each put as a mutation; returns its result, a revision or an error."""
 
     async def run() -> list[Any]:
         writer = new_writer(store)
@@ -142,61 +144,63 @@
 @pytest.mark.parametrize("carried_out", [True, False])
 def test_a_commit_without_a_response_is_carried_out_once(carried_out: bool) -> None:
     store = FakeStore()
-    store.lose = [carried_out]
+    store.lost_responses = [carried_out]
     assert write_all(store, [Put("a", 1), Put("b", 2)]) == [2, 2]
     assert store.data["a"] == (1, 2)
 
 
 def test_a_lost_response_costs_a_read_and_no_second_commit() -> None:
-    """While every response to a commit was lost, the leader repeated one for a minute and wrote
-    nothing else, though others could read what it had written."""
+    """When all responses to commits were lost, the leader retried one commit for a minute and wrote
+    nothing else, although a read would have shown that the commit had been carried out."""
     store = FakeStore()
-    store.lose = [True] * 5
+    store.lost_responses = [True] * 5
     assert write_all(store, [Put("a", 1), Put("b", 2)]) == [2, 2]
     assert store.commits == 1
 
 
 @pytest.mark.parametrize("fence_carried_out", [None, True, False])
-def test_a_commit_that_was_given_up_is_not_carried_out_late(fence_carried_out: bool | None) -> None:
-    """Its condition failed, and held again later on: then the attempt without a response was
-    carried out late and wrote a record of an archived job that its leader did not know of."""
+def test_a_commit_that_failed_on_a_conflict_is_not_carried_out_late(
+    fence_carried_out: bool | None,
+) -> None:
+    """The condition of a commit failed and held again later. Then the attempt without a response
+    was carried out late, and wrote a record of an archived job that the leader did not know of."""
     store = FakeStore()
     store.write("live/job/j-3", {"id": "j-3"})
 
     async def run() -> None:
         writer = new_writer(store)
         async with running(writer):
-            store.lose = [False]
+            store.lost_responses = [False]
             if fence_carried_out is not None:
-                store.lose = [False]
+                store.lost_responses = [False]
                 original = store.apply
 
                 def apply(conditions: dict[str, int], ops: list[Any]) -> int:
-                    if "live/job/j-3" in conditions and not store.lose:
-                        store.lose = [fence_carried_out]
+                    if "live/job/j-3" in conditions and not store.lost_responses:
+                        store.lost_responses = [fence_carried_out]
                         store.apply = original  # type: ignore[method-assign]
                     return original(conditions, ops)
 
                 store.apply = apply  # type: ignore[method-assign]
-            given_up = writer.submit([Put("live/jobs/1-1", {"jobs": [3]})], {"live/job/j-3": 0})
+            conflicting = writer.submit([Put("live/jobs/1-1", {"jobs": [3]})], {"live/job/j-3": 0})
             with pytest.raises(ConflictError):
-                await given_up
+                await conflicting
             del store.data["live/job/j-3"]
-            for late in store.under_way:
+            for pending in store.pending_commits:
                 with pytest.raises(ConflictError):
-                    store.apply(*late)
+                    store.apply(*pending)
             assert "live/jobs/1-1" not in store.data
-            assert await writer.submit([Put("a", 1)]) == store.revision  # and the leader goes on
+            assert await writer.submit([Put("a", 1)]) == store.revision  # the writer goes on
 
     asyncio.run(run())
 
 
 def test_an_equal_record_of_another_controller_does_not_prove_a_commit() -> None:
-    """A follower had created the same job record; the final status beside it was never written,
-    and yet the job was reported as done."""
+    """A follower had created the job record that a lost commit was to write. The leader took the
+    commit for applied, and reported a job as done whose final status was never written."""
     store = FakeStore()
     store.write("job/j-1", {"same": 1})
-    store.lose = [False]
+    store.lost_responses = [False]
     results = write_all(store, [Put("job/j-1", {"same": 1}), Put("fate/j-2", {"standing": "done"})])
     assert isinstance(results[0], ConflictError)
     assert store.data["fate/j-2"][1] == results[1]
@@ -210,24 +214,25 @@
     assert store.data["b"][0] == 2
 
 
-def test_a_rejected_commit_with_an_attempt_pending_can_t_be_carried_out_late() -> None:
-    """Its response was lost, and then the limits fell: a late attempt might meet the old ones."""
+def test_a_rejected_commit_with_a_pending_attempt_is_not_carried_out_late() -> None:
+    """The first attempt gets no response and the retry exceeds lowered limits; the first attempt
+    could still be carried out under the earlier limits."""
 
-    class Falling(FakeStore):
+    class FallingLimitStore(FakeStore):
         async def commit(self, conditions: dict[str, int], ops: list[Any]) -> int:
             if self.commits and any(isinstance(op, Put) and op.key == "a" for op in ops):
                 raise InvalidTransactionError("too large")
             return await super().commit(conditions, ops)
 
-    store = Falling()
-    store.lose = [False]
+    store = FallingLimitStore()
+    store.lost_responses = [False]
     assert isinstance(write_all(store, [Put("a", 1)])[0], InvalidTransactionError)
     with pytest.raises(ConflictError):
-        store.apply(*store.under_way[0])
+        store.apply(*store.pending_commits[0])
     assert "a" not in store.data
 
 
-def test_a_leader_whose_key_is_another_controller_s_writes_nothing() -> None:
+def test_a_leader_whose_key_another_controller_has_overwritten_writes_nothing() -> None:
     store = FakeStore()
     store.write("lead", {"member": "other"})
     results = write_all(store, [Put("a", 1)])
@@ -237,13 +242,13 @@
 
 def test_token_buckets_keep_their_rate() -> None:
     bucket = TokenBucket(10.0)
-    now, spent = 0.0, 0
+    now, acquired = 0.0, 0
     while now < 20.0:
-        pause = bucket.try_acquire(1, now)
-        spent += pause == 0
-        now += pause
-    assert 200 <= spent <= 211
-    # More than a burst is allowed from a full bucket, rather than never.
+        wait_s = bucket.try_acquire(1, now)
+        acquired += wait_s == 0
+        now += wait_s
+    assert 200 <= acquired <= 211
+    # A full bucket grants a request for more than a burst, which could otherwise never be granted.
     assert bucket.try_acquire(25, now + 5) == 0.0
     assert bucket.try_acquire(1, now + 5) > 1.0
 
@@ -265,50 +270,54 @@
 
 def test_records_stay_under_the_size_limit() -> None:
     size = tasks_per_block(8.0)
-    worst = Ranges([(n, n + 1) for n in range(99_000, 99_000 + 3 * size, 2)])
+    alternate_tasks = Ranges([(n, n + 1) for n in range(99_000, 99_000 + 3 * size, 2)])
     for block in range(99_000 // size, (99_000 + 3 * size) // size + 1):
-        assert json_size(struct_to_builtins(done_record(worst, block, size))) < 8 * 1024
+        assert json_size(struct_to_builtins(done_record(alternate_tasks, block, size))) < 8 * 1024
     entries = [RoundEntry(f"j-{n}", n, "m-1", [[0, n]]) for n in range(2000)]
-    pieces = split_entries(entries, 2000)
-    assert [e for piece in pieces for e in piece] == entries
-    assert all(json_size(to_record(piece)) <= 2000 for piece in pieces)
-    assert from_record(to_record(pieces[0])) == pieces[0]
+    parts = split_entries(entries, 2000)
+    assert [e for part in parts for e in part] == entries
+    assert all(json_size(to_record(part)) <= 2000 for part in parts)
+    assert from_record(to_record(parts[0])) == parts[0]
 
 
-def test_the_intent_of_a_gang_is_in_one_record_if_one_can_hold_it() -> None:
+def test_the_assignments_of_a_gang_share_one_record_if_they_fit() -> None:
     entries = [
         RoundEntry(f"j-{job}", 4294967296 + job, f"m-{n:06d}", [[n, n + 1]])
         for job in range(9)
         for n in range(8)
     ]
-    for limit, whole in ((600, True), (200, False)):
-        pieces = split_entries(entries, limit)
-        assert [e for piece in pieces for e in piece] == entries
-        assert all(json_size(to_record(piece)) <= limit for piece in pieces)
-        held = [{e.job for e in piece} for piece in pieces]
-        split = sum(len([1 for jobs in held if f"j-{job}" in jobs]) > 1 for job in range(9))
-        assert (split == 0) is whole
+    for limit, gang_fits in ((600, True), (200, False)):
+        parts = split_entries(entries, limit)
+        assert [e for part in parts for e in part] == entries
+        assert all(json_size(to_record(part)) <= limit for part in parts)
+        jobs_of_parts = [{e.job for e in part} for part in parts]
+        split_gangs = sum(
+            len([1 for jobs in jobs_of_parts if f"j-{job}" in jobs]) > 1 for job in range(9)
+        )
+        assert (split_gangs == 0) is gang_fits
 
 
 def test_a_commit_that_the_state_service_always_rejects_delays_no_other() -> None:
-    """Limits may fall further than announced: repeating a too large one would block all others."""
+    """Limits may fall further than announced. Retrying a commit that is too large for them would
+    block all later ones."""
 
-    class Strict(FakeStore):
+    class SizeLimitedStore(FakeStore):
         async def commit(self, conditions: dict[str, int], ops: list[Any]) -> int:
             if any(isinstance(op, Put) and op.key == "large" for op in ops):
                 raise InvalidTransactionError("commit: 400")
             return await super().commit(conditions, ops)
 
-    store = Strict()
+    store = SizeLimitedStore()
     results = write_all(store, [Put("a", 1), Put("large", 2), Put("b", 3)])
     assert isinstance(results.pop(1), InvalidTransactionError)
     assert results == [store.data["a"][1], store.data["b"][1]]
 
 
-def test_done_tasks_are_known_from_blocks_of_any_size() -> None:
-    """Two versions, or two limits: each writes blocks of its own size under keys of its own."""
+def test_keys_of_done_tasks_name_the_job_and_differ_between_block_sizes() -> None:
+    """Controllers of two versions, or with two value size limits, write blocks of different sizes.
+    Under a common key they would overwrite each other."""
     assert len({done_key("j-1", 0, 216), done_key("j-1", 0, 1740), "done/j-1/0"}) == 3
-    for key in (done_key("j-1", 3, 216), "done/j-1/3"):  # as the version before takes it apart
+    for key in (done_key("j-1", 3, 216), "done/j-1/3"):  # read by the earlier version
         assert key.removeprefix(DONE_TASKS_PREFIX).rpartition("/")[0] == "j-1"
 
 
@@ -324,7 +333,7 @@
                 state["n"] += 1
                 writer.defer("hint", lambda: Mutation({}, [Put("hint", dict(state))]))
                 await writer.submit([Put(f"job/{state['n']}", 1)])
-                assert "hint" not in store.data  # no capacity to spare
+                assert "hint" not in store.data  # no spare capacity
             store.spare = 12.0
             await writer.submit([Put("job/4", 1)])
             assert store.data["hint"] == ({"n": 3}, store.data["job/4"][1])
@@ -333,7 +342,7 @@
 
 
 def test_the_shares_of_all_controllers_stay_within_the_rate_limits() -> None:
-    """With five controllers, fixed shares for three once summed up to more than the whole."""
+    """Shares that were fixed for three controllers added up to more than the limit with five."""
 
     async def run() -> None:
         for size in (1, 2, 3, 5, 9):
@@ -346,9 +355,9 @@
 
 
 def test_one_read_serves_all_queries_at_a_controller_without_a_leader() -> None:
-    """Each query once read two records, and many queries together used up the request limit."""
+    """When each query read two records, many queries at once used up the request rate limit."""
 
-    class Counting(FakeStore):
+    class CountingStore(FakeStore):
         reads = scans = 0
 
         async def get(self, key: str, prioritized: bool = False) -> KeyValue | None:
@@ -361,13 +370,13 @@
 
         async def changes_since(self, prefix: str, after: int) -> tuple[int, list[Any]] | None:
             self.reads += 1
-            known = await super().changes_since(prefix, after)
-            await asyncio.sleep(0)  # what is read is as old as the request
-            return known
+            changes = await super().changes_since(prefix, after)
+            await asyncio.sleep(0)  # the response has the state at the time of the request
+            return changes
 
-    store = Counting()
-    two = [{"id": "j-1"}, {"id": "j-2"}]
-    store.write("live/jobs/1-1", {"jobs": two})
+    store = CountingStore()
+    shared_jobs = [{"id": "j-1"}, {"id": "j-2"}]
+    store.write("live/jobs/1-1", {"jobs": shared_jobs})
     store.write("live/job/j-3", {"id": "j-3"})
 
     async def run() -> None:
@@ -375,27 +384,30 @@
         follower_service = FollowerService(client, None)  # type: ignore[arg-type]
 
         async def statuses(*ids: str) -> list[str]:
-            answers = await asyncio.gather(*(follower_service.query(job_id) for job_id in ids))
-            return [a[1]["standing"] if a[1] else str(a[0]) for a in answers]
+            responses = await asyncio.gather(*(follower_service.query(job_id) for job_id in ids))
+            return [
+                response[1]["standing"] if response[1] else str(response[0])
+                for response in responses
+            ]
 
         assert await statuses("j-1", "j-2", "j-3", "j-4") == ["queued", "queued", "queued", "404"]
         assert (store.scans, store.reads) == (1, 1)
-        late = asyncio.create_task(statuses("j-1"))
+        earlier_query = asyncio.create_task(statuses("j-1"))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         store.write("live/ends/1-1", {"ends": [["j-2", "aborted", 0]]})
-        # A read that was sent before the query may lack what another one has reported since.
+        # A read sent before a query may lack changes that an earlier query has already reported.
         assert await statuses("j-1", "j-2") == ["queued", "aborted"]
-        assert await late == ["queued"]
+        assert await earlier_query == ["queued"]
         assert (store.scans, store.reads) == (1, 3)
         store.write("past/j-1", {"standing": "done", "done": 4})
         store.write("live/jobs/1-1", None)
         store.write("live/ends/1-1", None)
         assert await statuses("j-1", "j-2") == ["done", "aborted"]
-        before = store.reads
+        reads_before = store.reads
         assert await statuses("j-1", "j-2") == ["done", "aborted"]
-        assert store.reads == before  # a final status never changes
-        store.forgotten = store.revision  # too long ago: read it all anew
+        assert store.reads == reads_before  # a final status never changes
+        store.first_reported_after = store.revision  # needs a new scan
         store.write("live/job/j-5", {"id": "j-5"})
         assert await statuses("j-3", "j-5") == ["queued", "queued"]
 
@@ -403,20 +415,20 @@
 
 
 def test_jobs_that_arrive_together_share_one_record() -> None:
-    """Many jobs of one task each were accepted one by one, at the rate limit for changes; a job
-    that another controller has accepted meanwhile delays none of the others."""
+    """With one record for each job, many small jobs were accepted only at the write rate limit. A
+    job that another controller has accepted meanwhile fails alone and delays none of the others."""
     store = FakeStore()
     store.write("live/job/j-3", {})
 
     async def run() -> None:
         writer = new_writer(store)
         shared = SharedRecordWriter(writer, 7, "live/jobs/", "jobs")
-        entries = [
+        futures = [
             shared.add({"id": f"j-{n}", "text": "x" * 300}, {f"live/job/j-{n}": 0})
             for n in range(40)
         ]
         async with running(writer):
-            results = await asyncio.gather(*entries, return_exceptions=True)
+            results = await asyncio.gather(*futures, return_exceptions=True)
             assert isinstance(results.pop(3), ConflictError)
             assert len(set(results)) < 5
             stored = [r["id"] for key in set(results) for r in store.data[str(key)][0]["jobs"]]
@@ -428,10 +440,10 @@
     asyncio.run(run())
 
 
-class ScarceStore(FakeStore):
-    """Refuses transactions with more changes than the rate of one second, however often."""
+class RateLimitedStore(FakeStore):
+    """Refuses every transaction with more operations than the write rate allows in one second."""
 
-    allowed = 5
+    allowed = 5  # operations
 
     async def commit(self, conditions: dict[str, int], ops: list[Any]) -> int:
         if len(ops) > self.allowed:
@@ -439,14 +451,15 @@
         return await super().commit(conditions, ops)
 
 
-@pytest.mark.parametrize("write_rate", [50.0, float(ScarceStore.allowed)])
+@pytest.mark.parametrize("write_rate", [50.0, float(RateLimitedStore.allowed)])
 def test_a_transaction_with_more_changes_than_the_rate_allows_is_divided(
     write_rate: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """One of twelve changes at five a second was repeated without end. Where the settings have
-    the rate, no such transaction is made; where the rate fell unannounced, it is divided."""
+    """A transaction of twelve operations was retried without end at a rate of five per second. If
+    the settings have that rate, no such transaction is assembled; if the rate fell unannounced,
+    the transaction is divided."""
     monkeypatch.setattr("tests.unit.test_store.LIMITS", StateSettings(100.0, write_rate, 8.0, 12))
-    store = ScarceStore()
+    store = RateLimitedStore()
     revisions = write_all(store, [Put(f"k-{number:02d}", number) for number in range(12)])
     assert all(isinstance(revision, int) for revision in revisions)
     assert len(store.data) == 1 + 12
@@ -459,23 +472,23 @@
             put = Put(name, 1)
             deferred.add(name, lambda put=put: Mutation({}, [put]), bounded, now=10.0)  # type: ignore[misc]
 
-        def written(now: float, spare_ops: float = 0.0) -> list[str]:
+        def moved_keys(now: float, spare_ops: float = 0.0) -> list[str]:
             batch = Batch(LIMITS)
             assert deferred.move_to(batch, spare_ops, now) is None
             return [op.key for mutation in batch.mutations for op in mutation.ops]
 
-        assert written(10.0 + constants.DEFERRED_MAX_WAIT_S) == []
-        late = 10.1 + constants.DEFERRED_MAX_WAIT_S
-        assert written(late) == ["first"]  # one with each transaction
-        assert written(late) == ["second"]
-        assert written(late + 1e6) == []
-        assert written(late, 12.0) == ["unbounded"]
+        assert moved_keys(10.0 + constants.DEFERRED_MAX_WAIT_S) == []
+        overdue = 10.1 + constants.DEFERRED_MAX_WAIT_S
+        assert moved_keys(overdue) == ["first"]  # one per transaction
+        assert moved_keys(overdue) == ["second"]
+        assert moved_keys(overdue + 1e6) == []
+        assert moved_keys(overdue, 12.0) == ["unbounded"]
         assert not deferred
 
     asyncio.run(run())
 
 
-def test_a_deferred_write_that_does_not_fit_is_handed_back_and_not_lost() -> None:
+def test_a_deferred_write_that_does_not_fit_is_returned_and_not_lost() -> None:
     async def run() -> None:
         deferred = DeferredWrites()
         for name in ("one", "two"):
@@ -489,26 +502,26 @@
     asyncio.run(run())
 
 
-def test_a_single_flight_read_begins_after_its_caller_asked_and_serves_all_of_them() -> None:
-    started = 0
+def test_a_single_flight_read_starts_after_the_call_and_serves_all_waiting_callers() -> None:
+    reads_started = 0
 
     async def run() -> None:
-        gate = asyncio.Event()
+        may_finish = asyncio.Event()
 
         async def read() -> None:
-            nonlocal started
-            started += 1
-            await gate.wait()
+            nonlocal reads_started
+            reads_started += 1
+            await may_finish.wait()
 
-        reading = SingleFlightRead(read)
-        first = asyncio.create_task(reading.refresh())
-        while started == 0:
+        single_flight = SingleFlightRead(read)
+        first = asyncio.create_task(single_flight.refresh())
+        while reads_started == 0:
             await asyncio.sleep(0)
-        later = [asyncio.create_task(reading.refresh()) for _ in range(5)]
+        later = [asyncio.create_task(single_flight.refresh()) for _ in range(5)]
         await asyncio.sleep(0)
-        assert started == 1
-        gate.set()
+        assert reads_started == 1
+        may_finish.set()
         await asyncio.gather(first, *later)
-        assert started == 2
+        assert reads_started == 2
 
     asyncio.run(run())
