--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -53,7 +53,7 @@
 from peathall.workers.failing_jobs import FailingJobsRecord
 from peathall.workers.faults import FaultTracker
 from peathall.workers.image_cache import ImageCacheRecords
-from tests.unit.test_jobs import PARAMS, leader
+from tests.unit.test_jobs import PARAMS, new_jobs
 from tests.unit.test_store import LIMITS, FakeStore
 from tests.unit.test_workers import new_autoscaler, new_workers
 
@@ -247,7 +247,7 @@
 @asynccontextmanager
 async def leading(store: RecordingStore) -> AsyncIterator[Jobs]:
     """A leader's jobs in term 7 whose writer runs; a machine type and two machines are known."""
-    jobs = leader(store, TERM)
+    jobs = new_jobs(store, TERM)
     jobs.cluster.last_attempt_number = first_number_of_term(TERM)
     jobs.cluster.types = {"g": machine_type()}
     for name in ("m-1", "m-2"):
