--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -1,4 +1,4 @@
-"""What controllers tell one another of workers, and messages that are none."""
+"""Exchange of redirected workers between controllers, and malformed messages."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def new_peer_server(redirected: RedirectedWorkers) -> PeerServer:
-    """Of a follower, which answers every forwarded request alike."""
+    """The peer server of a follower; every valid forwarded request is answered with 200."""
 
     async def serve_forwarded(request: JobRequest) -> tuple[int, Any]:
         return 200, None
@@ -29,7 +29,7 @@
     return PeerServer(lambda: False, redirected, serve_forwarded)
 
 
-def test_a_copy_of_a_heartbeat_is_no_sign_of_life() -> None:
+def test_a_delayed_copy_of_a_heartbeat_does_not_show_that_the_worker_is_alive() -> None:
     redirected = RedirectedWorkers()
     redirected.note("m-1", (1, 7), 0.0)
     assert redirected.recent(1.0) == {"m-1": (1, 7)}
@@ -40,18 +40,19 @@
     assert redirected.recent(23.0) == {"m-1": (2, 1)}
 
 
-def test_however_many_machines_report_elsewhere_all_are_named() -> None:
-    """A ping once named 500 at most: the other live machines looked silent and were deleted."""
+def test_a_ping_response_names_all_redirected_workers() -> None:
+    """When a response named at most 500 workers, the leader took the others for silent and deleted
+    their machines."""
 
     async def run() -> None:
         redirected = RedirectedWorkers()
         server = new_peer_server(redirected)
         for number in range(970):
             redirected.note(f"m-{number}", (1, 7), server.loop.time())
-        asked = await server.serve(Request("GET", "/ping", "knocks", b""))
-        assert len(orjson.loads(asked.body)["knocks"]) == 970
-        plain = await server.serve(Request("GET", "/ping", "", b""))
-        assert "knocks" not in orjson.loads(plain.body)  # of use to a leader only
+        with_workers = await server.serve(Request("GET", "/ping", "knocks", b""))
+        assert len(orjson.loads(with_workers.body)["knocks"]) == 970
+        without_workers = await server.serve(Request("GET", "/ping", "", b""))
+        assert "knocks" not in orjson.loads(without_workers.body)  # only a leader asks for them
 
     asyncio.run(run())
 
@@ -61,7 +62,7 @@
     [b"", b"{", b"\xff\xfe", b"null", b"[1]", b'{"op": "query"}', b'{"op": "none", "id": "j-1"}',
      b'{"op": "accept", "job": {}}', b'{"op": "accept", "id": "j-1"}', b'{"op": 3, "id": "j-1"}'],
 )  # fmt: skip
-def test_a_forwarded_request_that_is_none_is_malformed(raw: bytes) -> None:
+def test_an_invalid_forwarded_request_is_malformed(raw: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         decode_job_request(raw)
 
@@ -76,6 +77,6 @@
 @pytest.mark.parametrize(
     "raw", [b"", b"\xff\xfe", b"null", b"{}", b'{"leads": true, "knocks": {"m-1": 7}}']
 )
-def test_a_ping_response_that_is_none_is_malformed(raw: bytes) -> None:
+def test_an_invalid_ping_response_is_malformed(raw: bytes) -> None:
     with pytest.raises(MalformedMessageError):
         decode(raw, PingResponse)
