--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -1,8 +1,8 @@
-"""What is stored in the state service, as literals: one value of every kind of record.
+"""The stored format: one literal for every kind of record in the state service.
 
-Each kind is written by the code and has to be the literal, under its literal key, to the byte; and
-the literal is read by the code and has to be understood. Names of the code may change, these
-literals never: records of earlier versions stand in the state service.
+What the code writes must equal the literal byte for byte, under its literal key, and the code must
+read the literal back. Names in the code may change, these literals must not: the state service
+holds records that earlier versions wrote.
 """
 
 from __future__ import annotations
@@ -59,20 +59,20 @@
 
 TERM = 7
 LEASE = 71
-WALL = 1700000000.5
-FIRST = 30064771073  # the first number given in term 7: 7 * 2**32 + 1
+WALL_TIME = 1700000000.5  # Unix time, s
+FIRST_NUMBER = 30064771073  # the first attempt number and epoch of term 7: 7 * 2**32 + 1
 
-# --- the literals ----------------------------------------------------------------------------
-LEAD = {"member": "hall-1", "term": 8, "lease": 71}
+# --- literals --------------------------------------------------------------------------------
+LEADER = {"member": "hall-1", "term": 8, "lease": 71}
 
-GANG = {
+GANG_JOB = {
     "id": "j-41", "class_name": "train", "team": "t", "gang": True, "priority": 1, "tasks": 4,
     "cpus": 2.0, "gpus": 1.0, "ram": 3.0, "image": "kit-a", "image_gb": 5.0, "types": ["g"],
     "zone": "a", "one_zone": True, "spread": False, "spot": True, "estimate_s": 60.0,
     "checkpoint_s": 7.0, "save_s": 8.0, "deadline_s": 900.0, "submitted": 1700000000.5,
     "daemon": False,
 }  # fmt: skip
-SERVICE = {
+DAEMON_JOB = {
     "id": "j-42", "class_name": "serve", "team": "t", "gang": False, "priority": 0, "tasks": 3,
     "cpus": 1.0, "gpus": 0.0, "ram": 2.0, "image": "kit-b", "image_gb": 4.0, "types": None,
     "zone": None, "one_zone": False, "spread": True, "spot": False, "estimate_s": 0.0,
@@ -80,25 +80,25 @@
     "daemon": True,
 }  # fmt: skip
 JOBS_KEY = "live/jobs/00000007-0000001"
-JOBS = {"jobs": [GANG, SERVICE]}
+JOBS = {"jobs": [GANG_JOB, DAEMON_JOB]}
 JOB_KEY = "live/job/j-41"
-ENDS_KEY = "live/ends/00000007-0000001"
-ENDS = {"ends": [["j-41", "aborted", 1], ["j-42", "done", 3]]}
-PAST = {
+FINAL_STATUSES_KEY = "live/ends/00000007-0000001"
+FINAL_STATUSES = {"ends": [["j-41", "aborted", 1], ["j-42", "done", 3]]}
+ARCHIVED_JOBS = {
     "past/j-41": {"standing": "aborted", "done": 1},
     "past/j-42": {"standing": "done", "done": 3},
 }
-DONE = {
+DONE_TASKS = {
     "done/j-43/870x0": {"done": [[0, 3], [869, 870]]},
     "done/j-43/870x1": {"done": [[870, 871], [980, 985]]},
 }
 ROUND_KEY = "round/00000007-0000001"
-ROUND = {"a": [["j-41", FIRST, "m-1", [[0, 3]]], ["j-41", FIRST, "m-2", [[3, 4]]]]}
-ROUND_COMPACTED = {"a": [["j-41", FIRST, "m-2", [[3, 4]]]]}
-CACHE_KEY = "cache/52"
-CACHE = {"machines": {"m-1": [["kit-a", 5.3], ["kit-b", 4.0]]}}
-FAILING_JOBS_KEY = {"jobs": [["j-41", 3]]}
-TYPES = {
+ROUND = {"a": [["j-41", FIRST_NUMBER, "m-1", [[0, 3]]], ["j-41", FIRST_NUMBER, "m-2", [[3, 4]]]]}
+COMPACTED_ROUND = {"a": [["j-41", FIRST_NUMBER, "m-2", [[3, 4]]]]}
+IMAGE_CACHE_KEY = "cache/52"
+IMAGE_CACHE = {"machines": {"m-1": [["kit-a", 5.3], ["kit-b", 4.0]]}}
+FAILING_JOBS = {"jobs": [["j-41", 3]]}
+MACHINE_TYPES = {
     "builds": [
         {
             "label": "g", "vcpus": 8.0, "cards": 4.0, "ram_gb": 16.0, "cache_gb": 50.0,
@@ -107,11 +107,11 @@
         }
     ]
 }  # fmt: skip
-MARK = {"on": True}
+ENABLED_MARK = {"on": True}
 HOLDER = {
     "member": "hall-1", "token": 5, "lease": 71, "since": 1700000000.5, "vacant_s": 2.5,
 }  # fmt: skip
-TOKEN_BEFORE = {"token": 4, "latest": [{"member": "hall-2", "token": 4, "vacant_s": 0.25}]}
+EARLIER_TOKEN = {"token": 4, "latest": [{"member": "hall-2", "token": 4, "vacant_s": 0.25}]}
 TOKEN = {
     "token": 5,
     "latest": [
@@ -119,46 +119,46 @@
         {"member": "hall-1", "token": 5, "vacant_s": 2.5},
     ],
 }
-RENTAL_KEY = "duty-act/renting/r-7-1"
-RENTAL = {
+PROVISION_KEY = "duty-act/renting/r-7-1"
+PROVISION_INTENT = {
     "token": 5, "term": 7,
     "rental": {"request": "r-7-1", "type": "g", "zone": "a", "spot": True, "count": 3},
     "deletion": None,
 }  # fmt: skip
 DELETION_KEY = "duty-act/returning/d-7-1"
-DELETION = {
+DELETION_INTENT = {
     "token": 5, "term": 7, "rental": None,
     "deletion": {"name": "d-7-1", "machines": ["m-1", "m-2"]},
 }  # fmt: skip
 HANDOFF_KEY = "handoff/j-41"
-OFFERED = {
-    "epoch": FIRST, "cell": "south", "phase": "offered", "lease_s": 0.0, "lapse_s": 0.0,
+HANDOFF_OFFERED = {
+    "epoch": FIRST_NUMBER, "cell": "south", "phase": "offered", "lease_s": 0.0, "lapse_s": 0.0,
 }  # fmt: skip
-GRANTED = {
-    "epoch": FIRST, "cell": "south", "phase": "granted", "lease_s": 600.0, "lapse_s": 25.0,
+HANDOFF_GRANTED = {
+    "epoch": FIRST_NUMBER, "cell": "south", "phase": "granted", "lease_s": 600.0, "lapse_s": 25.0,
 }  # fmt: skip
 BORROWED_KEY = "borrowed/j-41"
-RESERVED = {"epoch": FIRST, "home": "north", "phase": "reserved", "job": GANG}
-ADOPTED = {"epoch": FIRST, "home": "north", "phase": "adopted", "job": GANG}
-BORROWED_ENDED = {"epoch": FIRST, "home": "north", "phase": "ended", "job": GANG}
+BORROWED_RESERVED = {"epoch": FIRST_NUMBER, "home": "north", "phase": "reserved", "job": GANG_JOB}
+BORROWED_ADOPTED = {"epoch": FIRST_NUMBER, "home": "north", "phase": "adopted", "job": GANG_JOB}
+BORROWED_ENDED = {"epoch": FIRST_NUMBER, "home": "north", "phase": "ended", "job": GANG_JOB}
 
 
-# --- the same things, as the code names them ---------------------------------------------------
+# --- the same values as objects of the code ----------------------------------------------------
 def gang_spec() -> JobSpec:
     return JobSpec(
         id="j-41", class_name="train", team="t", gang=True, priority=1, tasks=4, cpus=2.0,
         gpus=1.0, ram=3.0, image="kit-a", image_gb=5.0, types=["g"], zone="a", one_zone=True,
         spread=False, spot=True, estimate_s=60.0, checkpoint_s=7.0, save_s=8.0, deadline_s=900.0,
-        submitted=WALL, daemon=False,
+        submitted=WALL_TIME, daemon=False,
     )  # fmt: skip
 
 
-def service_spec() -> JobSpec:
+def daemon_spec() -> JobSpec:
     return JobSpec(
         id="j-42", class_name="serve", team="t", gang=False, priority=0, tasks=3, cpus=1.0,
         gpus=0.0, ram=2.0, image="kit-b", image_gb=4.0, types=None, zone=None, one_zone=False,
         spread=True, spot=False, estimate_s=0.0, checkpoint_s=0.0, save_s=9.0, deadline_s=None,
-        submitted=WALL, daemon=True,
+        submitted=WALL_TIME, daemon=True,
     )  # fmt: skip
 
 
@@ -169,19 +169,19 @@
     )  # fmt: skip
 
 
-def rental() -> ProvisionRequest:
+def provision_request() -> ProvisionRequest:
     return ProvisionRequest(request="r-7-1", type="g", zone="a", spot=True, count=3)
 
 
 # --- set-up ------------------------------------------------------------------------------------
 class RecordingStore(FakeStore):
-    """Remembers all that was ever written, and gives leases."""
+    """Records all values that were written, by key, and grants leases."""
 
     def __init__(self) -> None:
         super().__init__()
         del self.data["lead"]
         self.written: dict[str, list[Any]] = {}
-        self.owners: dict[str, int | None] = {}
+        self.lease_by_key: dict[str, int | None] = {}
         self.ended: list[int] = []
 
     def apply(self, conditions: dict[str, int], ops: list[Any]) -> int:
@@ -189,7 +189,7 @@
         for op in ops:
             if isinstance(op, Put):
                 self.written.setdefault(op.key, []).append(op.value)
-                self.owners[op.key] = op.lease
+                self.lease_by_key[op.key] = op.lease
         return revision
 
     async def grant_lease(self, ttl_s: float) -> int:
@@ -209,31 +209,31 @@
         pass
 
     async def next_write(self, key: str, times: int = 1) -> None:
-        """Until the key was written so many times."""
+        """Wait until the key has been written `times` times in all."""
         await until(lambda: len(self.written.get(key, ())) >= times, lambda: str(self.written))
 
 
-async def until(reached: Callable[[], bool], told: Callable[[], str] = str) -> None:
+async def until(condition: Callable[[], bool], details: Callable[[], str] = str) -> None:
     for _ in range(500):
-        if reached():
+        if condition():
             return
         await asyncio.sleep(0)
-    raise AssertionError(f"not reached: {told()}")
+    raise AssertionError(f"condition not met: {details()}")
 
 
 def assert_written(store: RecordingStore, expected: dict[str, list[Any]]) -> None:
-    """Just these keys were written, with these values, and to the byte: the order of fields and
-    the kinds of numbers count too."""
+    """Exactly these keys were written, with these values, byte for byte: the order of fields and
+    the types of numbers count too."""
     assert store.written == expected
     for key, values in expected.items():
         assert json.dumps(store.written[key]) == json.dumps(values)
 
 
-def item(key: str, value: Any) -> KeyValue:
+def key_value(key: str, value: Any) -> KeyValue:
     return KeyValue(key, json.loads(json.dumps(value)), 3)
 
 
-def play(test: Callable[[RecordingStore], Awaitable[None]]) -> RecordingStore:
+def run_with_store(test: Callable[[RecordingStore], Awaitable[None]]) -> RecordingStore:
     store = RecordingStore()
 
     async def run() -> None:
@@ -245,8 +245,9 @@
 
 
 @asynccontextmanager
-async def leading(store: RecordingStore) -> AsyncIterator[Jobs]:
-    """A leader's jobs in term 7 whose writer runs; a machine type and two machines are known."""
+async def leader_jobs(store: RecordingStore) -> AsyncIterator[Jobs]:
+    """The jobs of the leader of term 7, which knows a machine type and two machines; the writer
+    runs inside the block."""
     jobs = new_jobs(store, TERM)
     jobs.cluster.last_attempt_number = first_number_of_term(TERM)
     jobs.cluster.types = {"g": machine_type()}
@@ -261,20 +262,20 @@
         await task
 
 
-def load_jobs(jobs: Jobs, *more: KeyValue) -> tuple[Job, Job]:
-    """Both jobs of the shared record, and what else is stored."""
-    live = [item(JOBS_KEY, JOBS), *[x for x in more if x.key.startswith("live/")]]
-    jobs.load(live, [x for x in more if not x.key.startswith("live/")], 3)
+def load_jobs(jobs: Jobs, *others: KeyValue) -> tuple[Job, Job]:
+    """Load the shared record and the other records; returns the two jobs of the shared record."""
+    live = [key_value(JOBS_KEY, JOBS), *[x for x in others if x.key.startswith("live/")]]
+    jobs.load(live, [x for x in others if not x.key.startswith("live/")], 3)
     for found in live:
         jobs.store.data[found.key] = (found.value, found.version)  # type: ignore[attr-defined]
     return jobs.cluster.jobs["j-41"], jobs.cluster.jobs["j-42"]
 
 
-async def campaign(store: Any, gate: Mode = Mode.OFF, cells: Mode = Mode.OFF) -> Election:
-    """hall-1 stands for election until it leads."""
+async def win_election(store: Any, gate: Mode = Mode.OFF, cells: Mode = Mode.OFF) -> Election:
+    """Run the election of hall-1 until it is the leader."""
     won = asyncio.Event()
 
-    async def lead(mandate: LeaderTerm) -> None:
+    async def lead(term: LeaderTerm) -> None:
         won.set()
         await asyncio.Event().wait()
 
@@ -287,8 +288,8 @@
 
 
 @asynccontextmanager
-async def followed_record_cache(store: Any) -> AsyncIterator[DutyRecordCache]:
-    """Has read what is stored."""
+async def running_record_cache(store: Any) -> AsyncIterator[DutyRecordCache]:
+    """A record cache that has read the stored records and watches them inside the block."""
     record_cache = DutyRecordCache(store)
     task = asyncio.create_task(record_cache.run())
     await until(lambda: record_cache.known)
@@ -308,34 +309,34 @@
         ({"n": 7, "cells": True}, Mode.RETIRING, {"n": 8, "cells": True}),
     ],
 )
-def test_lead_and_term_are_written_and_term_is_read(
+def test_leader_and_term_records_are_written_and_the_term_is_read(
     before: dict[str, Any] | None, cells: Mode, after: dict[str, Any]
 ) -> None:
     async def test(store: RecordingStore) -> None:
         if before is not None:
             store.write("term", before)
-        await campaign(store, cells=cells)
+        await win_election(store, cells=cells)
 
-    store = play(test)
-    assert_written(store, {"lead": [LEAD | {"term": after["n"]}], "term": [after]})
-    assert store.owners == {"lead": LEASE, "term": None}
+    store = run_with_store(test)
+    assert_written(store, {"lead": [LEADER | {"term": after["n"]}], "term": [after]})
+    assert store.lease_by_key == {"lead": LEASE, "term": None}
 
 
-def test_lead_is_read_as_of_an_earlier_life() -> None:
+def test_the_leader_record_of_an_earlier_process_is_read_and_its_lease_revoked() -> None:
     async def test(store: RecordingStore) -> None:
-        store.write("lead", LEAD)
-        await campaign(store)
+        store.write("lead", LEADER)
+        await win_election(store)
         assert store.ended == [LEASE]
 
-    play(test)
+    run_with_store(test)
 
 
-def test_lead_is_read_as_of_another_member() -> None:
+def test_the_leader_record_of_another_controller_is_read() -> None:
     async def test(store: RecordingStore) -> None:
-        store.write("lead", LEAD)
+        store.write("lead", LEADER)
         client: Any = store
 
-        async def lead(mandate: LeaderTerm) -> None:
+        async def lead(term: LeaderTerm) -> None:
             raise AssertionError
 
         gate = DutyGate(client, Mode.OFF)
@@ -345,32 +346,32 @@
         task.cancel()
         assert not store.ended
 
-    play(test)
+    run_with_store(test)
 
 
 # --- jobs --------------------------------------------------------------------------------------
 def test_accepted_jobs_are_written_to_one_record() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
-            answers = await asyncio.gather(jobs.accept(gang_spec()), jobs.accept(service_spec()))
-            assert [status for status, _ in answers] == [201, 201]
+        async with leader_jobs(store) as jobs:
+            responses = await asyncio.gather(jobs.accept(gang_spec()), jobs.accept(daemon_spec()))
+            assert [status for status, _ in responses] == [201, 201]
 
-    assert_written(play(test), {JOBS_KEY: [JOBS]})
+    assert_written(run_with_store(test), {JOBS_KEY: [JOBS]})
 
 
 def test_accepted_jobs_are_read_from_one_record() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
-            gang, service = load_jobs(jobs)
-            assert (gang.spec, service.spec) == (gang_spec(), service_spec())
+        async with leader_jobs(store) as jobs:
+            gang, daemon = load_jobs(jobs)
+            assert (gang.spec, daemon.spec) == (gang_spec(), daemon_spec())
             live = LiveJobIndex(jobs.store)
             await live.refresh()
             assert live.record_counts == {"j-41": 1, "j-42": 1}
 
-    play(test)
+    run_with_store(test)
 
 
-def test_a_job_accepted_by_another_controller() -> None:
+def test_a_job_accepted_by_a_follower_is_written_and_read() -> None:
     async def test(store: RecordingStore) -> None:
         client: Any = store
         follower_service = FollowerService(client, PARAMS)
@@ -378,196 +379,206 @@
         assert (await follower_service.accept(gang_spec()))[0] == 201
         await follower_service.live.refresh()
         assert follower_service.live.record_counts == {"j-41": 1}
-        async with leading(store) as jobs:
-            jobs.load([item(JOB_KEY, GANG)], [], 3)
+        async with leader_jobs(store) as jobs:
+            jobs.load([key_value(JOB_KEY, GANG_JOB)], [], 3)
             assert jobs.cluster.jobs["j-41"].spec == gang_spec()
 
-    assert_written(play(test), {JOB_KEY: [GANG]})
+    assert_written(run_with_store(test), {JOB_KEY: [GANG_JOB]})
 
 
 def test_a_job_of_an_earlier_version_is_read() -> None:
-    record = {name: value for name, value in GANG.items() if name != "daemon"}
+    record = {name: value for name, value in GANG_JOB.items() if name != "daemon"}
     assert spec_from_record(record | {"unknown": 1}) == gang_spec()
 
 
-def test_final_states_are_written() -> None:
+def test_final_statuses_are_written() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
-            gang, service = load_jobs(jobs)
+        async with leader_jobs(store) as jobs:
+            gang, daemon = load_jobs(jobs)
             gang.mark_done(0)
             cancelling = asyncio.create_task(jobs.cancel("j-41"))
-            service.mark_all_done()
-            jobs.note_done(service)
+            daemon.mark_all_done()
+            jobs.note_done(daemon)
             await cancelling
             await until(lambda: not jobs.cluster.jobs)
 
-    store = play(test)
-    store.written[ENDS_KEY][0]["ends"].sort()  # whichever came first
-    assert_written(store, {ENDS_KEY: [ENDS]} | {key: [value] for key, value in PAST.items()})
+    store = run_with_store(test)
+    store.written[FINAL_STATUSES_KEY][0]["ends"].sort()  # either may be stored first
+    assert_written(
+        store,
+        {FINAL_STATUSES_KEY: [FINAL_STATUSES]}
+        | {key: [value] for key, value in ARCHIVED_JOBS.items()},
+    )
 
 
-def test_final_states_are_read() -> None:
+def test_final_statuses_are_read() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
-            gang, service = load_jobs(jobs, item(ENDS_KEY, ENDS))
-            assert (gang.status, service.status) == (JobStatus.CANCELLED, JobStatus.DONE)
-            assert gang.final_record_key == service.final_record_key == ENDS_KEY
+        async with leader_jobs(store) as jobs:
+            gang, daemon = load_jobs(jobs, key_value(FINAL_STATUSES_KEY, FINAL_STATUSES))
+            assert (gang.status, daemon.status) == (JobStatus.CANCELLED, JobStatus.DONE)
+            assert gang.final_record_key == daemon.final_record_key == FINAL_STATUSES_KEY
             live = LiveJobIndex(jobs.store)
             await live.refresh()
             assert [(job, x.status, x.done) for job, x in live.final_statuses.items()] == [
                 ("j-41", JobStatus.CANCELLED, 1), ("j-42", JobStatus.DONE, 3),
             ]  # fmt: skip
 
-    play(test)
+    run_with_store(test)
 
 
-def test_an_archived_job_is_written_and_taken_out_of_its_record() -> None:
+def test_an_archived_job_is_written_and_removed_from_its_shared_record() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
+        async with leader_jobs(store) as jobs:
             gang, _ = load_jobs(jobs)
             gang.mark_done(0)
             assert (await jobs.cancel("j-41"))[0] == 200
             await until(lambda: "j-41" not in jobs.cluster.jobs)
 
     assert_written(
-        play(test),
+        run_with_store(test),
         {
-            ENDS_KEY: [{"ends": [["j-41", "aborted", 1]]}],
-            "past/j-41": [PAST["past/j-41"]],
-            JOBS_KEY: [{"jobs": [SERVICE]}],
+            FINAL_STATUSES_KEY: [{"ends": [["j-41", "aborted", 1]]}],
+            "past/j-41": [ARCHIVED_JOBS["past/j-41"]],
+            JOBS_KEY: [{"jobs": [DAEMON_JOB]}],
         },
     )
 
 
 def test_archived_jobs_are_read() -> None:
     async def test(store: RecordingStore) -> None:
-        for key, value in PAST.items():
+        for key, value in ARCHIVED_JOBS.items():
             store.write(key, value)
         client: Any = store
-        async with leading(store) as jobs:
-            for asked in (jobs, FollowerService(client, PARAMS)):
-                assert [await asked.query(job_id) for job_id in ("j-41", "j-42")] == [
+        async with leader_jobs(store) as jobs:
+            for reader in (jobs, FollowerService(client, PARAMS)):
+                assert [await reader.query(job_id) for job_id in ("j-41", "j-42")] == [
                     (200, {"id": "j-41", "standing": "aborted", "done": 1, "running": 0}),
                     (200, {"id": "j-42", "standing": "done", "done": 3, "running": 0}),
                 ]
 
-    play(test)
+    run_with_store(test)
 
 
 def test_done_tasks_are_written_in_blocks() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
-            jobs.load([item("live/job/j-43", SERVICE | {"id": "j-43", "tasks": 2000})], [], 3)
+        async with leader_jobs(store) as jobs:
+            jobs.load(
+                [key_value("live/job/j-43", DAEMON_JOB | {"id": "j-43", "tasks": 2000})], [], 3
+            )
             job = jobs.cluster.jobs["j-43"]
             for low, high in ((0, 3), (869, 871), (980, 985)):
                 job.done.add(low, high)
             jobs.note_done(job)
             await until(lambda: len(store.written) == 2, lambda: str(store.written))
 
-    assert_written(play(test), {key: [value] for key, value in DONE.items()})
+    assert_written(run_with_store(test), {key: [value] for key, value in DONE_TASKS.items()})
 
 
 def test_done_tasks_are_read_from_blocks_of_any_size() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
-            live = [item("live/job/j-43", SERVICE | {"id": "j-43", "tasks": 2000})]
-            earlier = item("done/j-43/3", {"done": [[1500, 1502]]})  # of an earlier version
-            jobs.load(live, [*(item(*record) for record in DONE.items()), earlier], 3)
+        async with leader_jobs(store) as jobs:
+            live = [key_value("live/job/j-43", DAEMON_JOB | {"id": "j-43", "tasks": 2000})]
+            # The key format of an earlier version.
+            old_block = key_value("done/j-43/3", {"done": [[1500, 1502]]})
+            jobs.load(live, [*(key_value(*record) for record in DONE_TASKS.items()), old_block], 3)
             stored = jobs.cluster.jobs["j-43"].stored_done
             assert stored.to_record() == [[0, 3], [869, 871], [980, 985], [1500, 1502]]
 
-    play(test)
+    run_with_store(test)
 
 
 # --- placement, workers and machines -----------------------------------------------------------
 def test_a_round_is_written() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
+        async with leader_jobs(store) as jobs:
             load_jobs(jobs)
             rounds = RoundRecords(jobs.cluster, jobs.writer)
-            (piece,) = rounds.write(
+            (part,) = rounds.write(
                 [Assignment("j-41", "m-1", 3), Assignment("j-41", "m-2", 1)], 0.0
             )
-            await piece.stored
+            await part.stored
 
-    assert_written(play(test), {ROUND_KEY: [ROUND]})
+    assert_written(run_with_store(test), {ROUND_KEY: [ROUND]})
 
 
-def test_a_round_is_read_and_written_anew_with_what_is_left() -> None:
+def test_a_round_is_read_and_compacted_to_its_remaining_attempts() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
+        async with leader_jobs(store) as jobs:
             gang, _ = load_jobs(jobs)
             rounds = RoundRecords(jobs.cluster, jobs.writer)
             store.data[ROUND_KEY] = (ROUND, 3)
-            rounds.load([item(ROUND_KEY, ROUND)], 0.0)
+            rounds.load([key_value(ROUND_KEY, ROUND)], 0.0)
             assert [(a.task, a.number, a.machine) for a in gang.attempts.values()] == [
-                (0, FIRST, "m-1"), (1, FIRST, "m-1"), (2, FIRST, "m-1"), (3, FIRST, "m-2"),
+                (0, FIRST_NUMBER, "m-1"), (1, FIRST_NUMBER, "m-1"), (2, FIRST_NUMBER, "m-1"),
+                (3, FIRST_NUMBER, "m-2"),
             ]  # fmt: skip
             jobs.cluster.release_all(jobs.cluster.machines["m-1"], 0.0)
             rounds.compact(constants.ROUND_COMPACT_AGE_S + 1.0)
             await store.next_write(ROUND_KEY)
 
-    assert_written(play(test), {ROUND_KEY: [ROUND_COMPACTED]})
+    assert_written(run_with_store(test), {ROUND_KEY: [COMPACTED_ROUND]})
 
 
-def test_images_on_machines() -> None:
+def test_images_on_machines_are_written_and_read() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
+        async with leader_jobs(store) as jobs:
             machine = jobs.cluster.machines["m-1"]
             machine.images.update({"kit-a": 5.26, "kit-b": 4.0})
             ImageCacheRecords(jobs.cluster, jobs.writer).schedule_write(machine)
-            await store.next_write(CACHE_KEY)
-            later = ImageCacheRecords(jobs.cluster, jobs.writer)
-            later.load([item(CACHE_KEY, CACHE)])
-            known = Machine("m-1", "g", "a", True, MachinePhase.UP)
-            later.restore(known)
-            assert dict(known.images) == {"kit-a": 5.3, "kit-b": 4.0}
+            await store.next_write(IMAGE_CACHE_KEY)
+            successor = ImageCacheRecords(jobs.cluster, jobs.writer)
+            successor.load([key_value(IMAGE_CACHE_KEY, IMAGE_CACHE)])
+            restored = Machine("m-1", "g", "a", True, MachinePhase.UP)
+            successor.restore(restored)
+            assert dict(restored.images) == {"kit-a": 5.3, "kit-b": 4.0}
 
-    assert_written(play(test), {CACHE_KEY: [CACHE]})
+    assert_written(run_with_store(test), {IMAGE_CACHE_KEY: [IMAGE_CACHE]})
 
 
-def test_jobs_that_may_be_mistaken() -> None:
+def test_failing_jobs_are_written_and_read() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
+        async with leader_jobs(store) as jobs:
             gang, _ = load_jobs(jobs)
             faults = FaultTracker(jobs.cluster)
-            suspects = FailingJobsRecord(jobs.cluster, faults, jobs.writer)
+            failing_jobs = FailingJobsRecord(jobs.cluster, faults, jobs.writer)
             faults.mark_failing(gang, 3)
             faults.on_failing_jobs_changed()
             await store.next_write("suspects")
             gang.health, gang.consecutive_failures = JobHealth.UNKNOWN, 0
-            suspects.load(item("suspects", FAILING_JOBS_KEY))
+            failing_jobs.load(key_value("suspects", FAILING_JOBS))
             assert (gang.health, gang.consecutive_failures) == (JobHealth.FAILING, 3)
 
-    assert_written(play(test), {"suspects": [FAILING_JOBS_KEY]})
+    assert_written(run_with_store(test), {"suspects": [FAILING_JOBS]})
 
 
-def test_machine_types() -> None:
+def test_machine_types_are_written_and_read() -> None:
     async def types() -> list[MachineType]:
         return [machine_type()]
 
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
+        async with leader_jobs(store) as jobs:
             workers = new_workers(0.0)
             autoscaler = new_autoscaler(workers, SimpleNamespace(types=types), jobs.writer)
             await autoscaler.machine_types.refresh(0.0)
             await store.next_write("types")
             workers.cluster.types = {}
-            autoscaler.load_types(item("types", TYPES).value)
+            autoscaler.load_types(key_value("types", MACHINE_TYPES).value)
             assert workers.cluster.types == {"g": machine_type()}
 
-    assert_written(play(test), {"types": [TYPES]})
+    assert_written(run_with_store(test), {"types": [MACHINE_TYPES]})
 
 
 # --- duties ------------------------------------------------------------------------------------
-def test_the_mark_of_duties() -> None:
+def test_the_mark_that_duties_are_enabled_is_written_and_read() -> None:
     async def test(store: RecordingStore) -> None:
         store.write("term", {"n": 7})
-        await campaign(store, gate=Mode.ON)
-        async with followed_record_cache(store) as record_cache:
+        await win_election(store, gate=Mode.ON)
+        async with running_record_cache(store) as record_cache:
             assert record_cache.enabled_version == store.data["duties/on"][1]
 
-    assert_written(play(test), {"lead": [LEAD], "term": [{"n": 8}], "duties/on": [MARK]})
+    assert_written(
+        run_with_store(test), {"lead": [LEADER], "term": [{"n": 8}], "duties/on": [ENABLED_MARK]}
+    )
 
 
 DUTIES = [
@@ -578,14 +589,14 @@
 ]
 
 
-def test_all_duties_are_named_here() -> None:
+def test_every_duty_has_a_literal_name() -> None:
     assert [duty for _, duty in DUTIES] == list(Duty)
 
 
 @pytest.mark.parametrize(("name", "duty"), DUTIES)
-def test_holder_and_token_are_written_and_token_is_read(name: str, duty: Duty) -> None:
-    class Holding:
-        """May claim at once."""
+def test_holder_and_token_records_are_written_and_the_token_is_read(name: str, duty: Duty) -> None:
+    class AlwaysMayClaim:
+        """May claim the duty without delay."""
 
         def may_claim(self) -> bool:
             return True
@@ -593,67 +604,71 @@
         def claim_delay_s(self) -> float:
             return 0.0
 
-        async def hold(self, held: Duty, ownership: Ownership) -> None:
-            assert held is duty
+        async def hold(self, claimed: Duty, ownership: Ownership) -> None:
+            assert claimed is duty
             assert ownership.holder.token == 5
 
     async def test(store: RecordingStore) -> None:
         client: Any = store
-        store.write("duties/on", MARK)
-        store.write(f"duties/token/{name}", TOKEN_BEFORE)
-        async with followed_record_cache(store) as record_cache:
+        store.write("duties/on", ENABLED_MARK)
+        store.write(f"duties/token/{name}", EARLIER_TOKEN)
+        async with running_record_cache(store) as record_cache:
             claim = DutyClaim(
                 duty,
                 "hall-1",
                 client,
                 record_cache,
                 20.0,
-                lambda: WALL,
+                lambda: WALL_TIME,
                 random.Random(1),
-                Holding(),
+                AlwaysMayClaim(),
             )
             clock: Any = SimpleNamespace(time=lambda: 100.0)
             claim.loop, record_cache.vacant_since[duty] = clock, 97.5
             await claim._claim()
 
-    store = play(test)
+    store = run_with_store(test)
     assert_written(store, {f"duties/holder/{name}": [HOLDER], f"duties/token/{name}": [TOKEN]})
-    assert store.owners == {f"duties/holder/{name}": LEASE, f"duties/token/{name}": None}
+    assert store.lease_by_key == {f"duties/holder/{name}": LEASE, f"duties/token/{name}": None}
 
 
 @pytest.mark.parametrize(("name", "duty"), DUTIES)
-def test_holder_is_read(name: str, duty: Duty) -> None:
+def test_the_holder_record_is_read(name: str, duty: Duty) -> None:
     async def test(store: RecordingStore) -> None:
         store.write(f"duties/holder/{name}", HOLDER)
-        async with followed_record_cache(store) as record_cache:
+        async with running_record_cache(store) as record_cache:
             assert record_cache.holders == {
-                duty: HolderRecord(member="hall-1", token=5, lease=71, since=WALL, vacant_s=2.5)
+                duty: HolderRecord(
+                    member="hall-1", token=5, lease=71, since=WALL_TIME, vacant_s=2.5
+                )
             }
 
-    play(test)
+    run_with_store(test)
 
 
-class Cloud:
-    """Notes what it was asked for."""
+class RecordingCloud:
+    """Records the machines that it is asked to provision or delete."""
 
     def __init__(self) -> None:
-        self.asked: list[Any] = []
+        self.requests: list[Any] = []
 
-    async def provision(self, rental: ProvisionRequest) -> list[str]:
-        self.asked.append(rental)
+    async def provision(self, request: ProvisionRequest) -> list[str]:
+        self.requests.append(request)
         return ["m-1"]
 
     async def delete(self, machines: list[str]) -> None:
-        self.asked.append(machines)
+        self.requests.append(machines)
 
 
 @asynccontextmanager
-async def holding(store: Any, duty: Duty, cloud: Cloud) -> AsyncIterator[DutyExecutor]:
-    """A holder that has finished what an earlier one left."""
+async def running_executor(
+    store: Any, duty: Duty, cloud: RecordingCloud
+) -> AsyncIterator[DutyExecutor]:
+    """The executor of a holder, which has finished the actions that an earlier holder left."""
     key = f"duties/holder/{duty.value}"
-    store.write("lead", LEAD)
+    store.write("lead", LEADER)
     store.write(key, HOLDER)
-    holder = HolderRecord(member="hall-1", token=5, lease=71, since=WALL, vacant_s=2.5)
+    holder = HolderRecord(member="hall-1", token=5, lease=71, since=WALL_TIME, vacant_s=2.5)
     record = GuardKey(key, HOLDER, store.revision, LEASE)
     ownership = Ownership(holder, record, HeldLease(20.0, 0.0))
     claim: Any = SimpleNamespace(
@@ -669,86 +684,92 @@
         await asyncio.gather(task, return_exceptions=True)
 
 
-ACTS = [
-    (RENTAL_KEY, RENTAL, Duty.SCALE_OUT, {"provision": rental()}, rental()),
+ACTIONS = [
+    (
+        PROVISION_KEY, PROVISION_INTENT, Duty.SCALE_OUT,
+        {"provision": provision_request()}, provision_request(),
+    ),
     (
-        DELETION_KEY, DELETION, Duty.SCALE_IN,
+        DELETION_KEY, DELETION_INTENT, Duty.SCALE_IN,
         {"deletion": Deletion(name="d-7-1", machines=["m-1", "m-2"])}, ["m-1", "m-2"],
     ),
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize(("key", "value", "duty", "act", "done"), ACTS)
+@pytest.mark.parametrize(("key", "value", "duty", "act", "done"), ACTIONS)
 def test_an_action_of_a_holder_is_written(
     key: str, value: Any, duty: Duty, act: dict[str, Any], done: Any
 ) -> None:
     async def test(store: RecordingStore) -> None:
-        cloud = Cloud()
-        async with holding(store, duty, cloud) as executor:
+        cloud = RecordingCloud()
+        async with running_executor(store, duty, cloud) as executor:
             await executor.perform(ActionRequest(duty, 5, TERM, store.data["lead"][1], **act))
-        assert cloud.asked == [done]
+        assert cloud.requests == [done]
 
-    assert_written(play(test), {key: [value]})
+    assert_written(run_with_store(test), {key: [value]})
 
 
-@pytest.mark.parametrize(("key", "value", "duty", "act", "done"), ACTS)
+@pytest.mark.parametrize(("key", "value", "duty", "act", "done"), ACTIONS)
 def test_an_action_of_an_earlier_holder_is_read(
     key: str, value: Any, duty: Duty, act: dict[str, Any], done: Any
 ) -> None:
     async def test(store: RecordingStore) -> None:
-        cloud = Cloud()
+        cloud = RecordingCloud()
         store.write(key, value)
-        status = describe("hall-1", [item(key, value)], None, {})
+        status = describe("hall-1", [key_value(key, value)], None, {})
         assert {s.duty: s.outstanding for s in status.duties if s.outstanding} == {
             duty.value: [key.rpartition("/")[2]]
         }
-        async with holding(store, duty, cloud):
-            assert cloud.asked == [done]
+        async with running_executor(store, duty, cloud):
+            assert cloud.requests == [done]
             assert key not in store.data
 
-    play(test)
+    run_with_store(test)
 
 
 # --- cells -------------------------------------------------------------------------------------
-def home_of(jobs: Jobs) -> HomeHandoffs:
+def new_home_handoffs(jobs: Jobs) -> HomeHandoffs:
     return HomeHandoffs("north", 600.0, 40.0, jobs.cluster, jobs.writer, jobs, lambda: 0.0)
 
 
 def test_a_handoff_is_written() -> None:
-    async def offer(made: HandoffOffer) -> HandoffOfferResponse:
-        assert made.job == GANG
+    async def offer(received: HandoffOffer) -> HandoffOfferResponse:
+        assert received.job == GANG_JOB
         return HandoffOfferResponse(reserved=True, term=1, sequence=1, task_expiry_s=25.0)
 
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
+        async with leader_jobs(store) as jobs:
             gang, _ = load_jobs(jobs)
-            home, south = home_of(jobs), SimpleNamespace(name="south", offer=offer)
+            home, south = new_home_handoffs(jobs), SimpleNamespace(name="south", offer=offer)
             assert await home.offer_and_grant(home.begin(gang, "south"), south) is None
 
-    assert_written(play(test), {HANDOFF_KEY: [OFFERED, GRANTED]})
+    assert_written(run_with_store(test), {HANDOFF_KEY: [HANDOFF_OFFERED, HANDOFF_GRANTED]})
 
 
 @pytest.mark.parametrize(
     ("value", "phase", "lease"),
-    [(OFFERED, HandoffPhase.REVOKED, None), (GRANTED, HandoffPhase.GRANTED, (600.0, 25.0))],
+    [
+        (HANDOFF_OFFERED, HandoffPhase.REVOKED, None),
+        (HANDOFF_GRANTED, HandoffPhase.GRANTED, (600.0, 25.0)),
+    ],
 )
 def test_a_handoff_is_read(
     value: Any, phase: HandoffPhase, lease: tuple[float, float] | None
 ) -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
+        async with leader_jobs(store) as jobs:
             load_jobs(jobs)
-            home = home_of(jobs)
-            home.load([item(HANDOFF_KEY, value)], 0.0)
+            home = new_home_handoffs(jobs)
+            home.load([key_value(HANDOFF_KEY, value)], 0.0)
             found = home.handoffs["j-41"]
-            assert (found.cell, found.epoch, found.phase) == ("south", FIRST, phase)
-            told = found.lease and (found.lease.lease_s, found.lease.task_expiry_s)
-            assert told == lease
+            assert (found.cell, found.epoch, found.phase) == ("south", FIRST_NUMBER, phase)
+            found_lease = found.lease and (found.lease.lease_s, found.lease.task_expiry_s)
+            assert found_lease == lease
 
-    play(test)
+    run_with_store(test)
 
 
-def borrower_of(jobs: Jobs) -> BorrowedJobs:
+def new_borrowed_jobs(jobs: Jobs) -> BorrowedJobs:
     async def reserve(spec: JobSpec, until: float) -> bool:
         return True
 
@@ -764,32 +785,39 @@
 
 def test_a_borrowed_job_is_written() -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
-            borrower = borrower_of(jobs)
-            assert await borrower.reserve(HandoffOffer("north", "south", 3, FIRST, GANG)) is None
-            borrower.apply_ruling("north", Ruling("j-41", FIRST, Verdict.GRANTED, 600.0), 0.0)
+        async with leader_jobs(store) as jobs:
+            borrower = new_borrowed_jobs(jobs)
+            assert (
+                await borrower.reserve(HandoffOffer("north", "south", 3, FIRST_NUMBER, GANG_JOB))
+                is None
+            )
+            borrower.apply_ruling(
+                "north", Ruling("j-41", FIRST_NUMBER, Verdict.GRANTED, 600.0), 0.0
+            )
             await until(lambda: "j-41" in jobs.cluster.jobs)
             borrower.finish(jobs.cluster.jobs["j-41"])
             await store.next_write(BORROWED_KEY, 3)
 
-    assert_written(play(test), {BORROWED_KEY: [RESERVED, ADOPTED, BORROWED_ENDED]})
+    assert_written(
+        run_with_store(test), {BORROWED_KEY: [BORROWED_RESERVED, BORROWED_ADOPTED, BORROWED_ENDED]}
+    )
 
 
 @pytest.mark.parametrize(
     ("value", "phase"),
     [
-        (RESERVED, BorrowPhase.RESERVED),
-        (ADOPTED, BorrowPhase.ADOPTED),
+        (BORROWED_RESERVED, BorrowPhase.RESERVED),
+        (BORROWED_ADOPTED, BorrowPhase.ADOPTED),
         (BORROWED_ENDED, BorrowPhase.ENDED),
     ],
 )
 def test_a_borrowed_job_is_read(value: Any, phase: BorrowPhase) -> None:
     async def test(store: RecordingStore) -> None:
-        async with leading(store) as jobs:
-            borrower = borrower_of(jobs)
-            borrower.load([item(BORROWED_KEY, value)], 0.0)
+        async with leader_jobs(store) as jobs:
+            borrower = new_borrowed_jobs(jobs)
+            borrower.load([key_value(BORROWED_KEY, value)], 0.0)
             found = borrower.borrowed["j-41"]
-            assert (found.home, found.epoch, found.phase) == ("north", FIRST, phase)
+            assert (found.home, found.epoch, found.phase) == ("north", FIRST_NUMBER, phase)
             assert found.spec == gang_spec()
 
-    play(test)
+    run_with_store(test)
