--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The one test command: style, types, tests.
+# Runs all checks: style, types, tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 ruff check .
--- a/tests/unit/test_protocol.py
+++ b/tests/unit/test_protocol.py
@@ -1,4 +1,4 @@
-"""Malformed bodies, the limits of fields, and words that are not known."""
+"""Decoding of protocol messages: malformed bodies, limits of fields, and unknown values."""
 
 import math
 from http import HTTPStatus
@@ -30,7 +30,7 @@
 )
 from peathall.protocol.jobs import decode_submission, spec_from_record, spec_to_record
 
-GOOD: dict[str, Any] = {
+SUBMISSION: dict[str, Any] = {
     "id": "j-000412", "docket": "train", "desk": "vision", "shape": "ensemble",
     "precedence": "high", "parcels": 16, "vcpus": 8.0, "cards": 1, "ram_gb": 64.0,
     "kit": "img-07", "image_gb": 6.2, "builds": ["g8"], "ward": None, "together": True,
@@ -39,26 +39,26 @@
 }  # fmt: skip
 
 
-def test_a_job_is_translated_and_survives_its_record() -> None:
-    spec = decode_submission(GOOD | {"not_known_yet": 1}, 5.0)
+def test_a_submission_is_decoded_and_survives_its_record() -> None:
+    spec = decode_submission(SUBMISSION | {"not_known_yet": 1}, 5.0)
     assert (spec.class_name, spec.team, spec.gang, spec.priority) == ("train", "vision", True, 1)
     assert (spec.image, spec.types, spec.one_zone, spec.spot) == ("img-07", ["g8"], True, True)
     record = cbor2.loads(cbor2.dumps(spec_to_record(spec)))
     assert spec_from_record(record) == spec
 
 
-def test_a_daemon_is_placed_like_independent_tasks() -> None:
-    # The protocol's text does not name it; refusing it failed users on real machines.
-    assert not decode_submission(GOOD | {"shape": "daemon"}, 0.0).gang
+def test_a_daemon_is_accepted_and_is_no_gang() -> None:
+    # The protocol's description does not name this shape; rejecting it failed jobs of real users.
+    assert not decode_submission(SUBMISSION | {"shape": "daemon"}, 0.0).gang
 
 
 @pytest.mark.parametrize("missing", ["builds", "ward", "due_s"])
 def test_fields_that_may_be_null_may_be_missing(missing: str) -> None:
-    raw = {k: v for k, v in GOOD.items() if k != missing}
-    assert decode_submission(raw, 0.0) == decode_submission(GOOD | {missing: None}, 0.0)
+    raw = {k: v for k, v in SUBMISSION.items() if k != missing}
+    assert decode_submission(raw, 0.0) == decode_submission(SUBMISSION | {missing: None}, 0.0)
 
 
-BAD = [
+INVALID_FIELDS = [
     {"id": "job-1"}, {"id": "j-"}, {"id": 7}, {"id": "j-1\n"}, {"parcels": 0},
     {"parcels": 100_001}, {"parcels": 2.5}, {"parcels": True}, {"vcpus": -1.0},
     {"vcpus": math.nan}, {"ram_gb": math.inf}, {"shape": "cron"}, {"precedence": "urgent"},
@@ -67,16 +67,16 @@
 ]  # fmt: skip
 
 
-@pytest.mark.parametrize("change", BAD, ids=repr)
+@pytest.mark.parametrize("change", INVALID_FIELDS, ids=repr)
 def test_invalid_fields_are_malformed(change: dict[str, Any]) -> None:
     with pytest.raises(codec.MalformedError):
-        decode_submission(GOOD | change, 0.0)
+        decode_submission(SUBMISSION | change, 0.0)
 
 
-@pytest.mark.parametrize("field", [k for k in GOOD if k not in ("builds", "ward", "due_s")])
+@pytest.mark.parametrize("field", [k for k in SUBMISSION if k not in ("builds", "ward", "due_s")])
 def test_missing_fields_are_malformed(field: str) -> None:
     with pytest.raises(codec.MalformedError):
-        decode_submission({k: v for k, v in GOOD.items() if k != field}, 0.0)
+        decode_submission({k: v for k, v in SUBMISSION.items() if k != field}, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -91,12 +91,12 @@
         b"x" * 70000,
     ],
 )
-def test_garbage_is_no_map(raw: bytes) -> None:
+def test_a_body_that_is_not_a_map_is_malformed(raw: bytes) -> None:
     with pytest.raises(codec.MalformedError):
         codec.cbor_map(raw)
 
 
-def test_heartbeats_are_translated() -> None:
+def test_heartbeats_are_decoded() -> None:
     heartbeat = decode_heartbeat(
         {
             "hall": "m-1", "endpoint": "10.1.0.2:9000", "build": "g8", "ward": "a",
@@ -134,7 +134,7 @@
         (ForgetCommand("j-1", 2, 3), {"writ": "forget", "parcel": "j-1/2", "try": 3}),
     ],
 )
-def test_commands_are_written_in_the_protocols_words(
+def test_commands_are_encoded_with_the_names_of_the_protocol(
     command: Command, encoded: dict[str, Any]
 ) -> None:
     assert encode_heartbeat_response(5, [command]) == {"mandate": 5, "writs": [encoded]}
@@ -156,7 +156,7 @@
         (None, MachineState.UNKNOWN),
     ],
 )
-def test_a_machines_state_is_translated(standing: str | None, state: MachineState) -> None:
+def test_the_state_of_a_machine_is_decoded(standing: str | None, state: MachineState) -> None:
     page = decode_machine_page({"halls": [{"id": "m-1", "standing": standing}]})
     assert [machine.state for machine in page.machines] == [state]
     assert not page.more
@@ -168,7 +168,7 @@
     assert decode_machine_types(encode_machine_types(types)) == types
 
 
-def test_pages_of_the_machine_list_are_asked_for_by_the_last_name() -> None:
+def test_the_next_page_of_the_machine_list_starts_after_the_last_name() -> None:
     assert machine_page_path(5, "") == "/hosts?most=5"
     assert machine_page_path(5, "m/1") == "/hosts?most=5&after=m/1"
     assert machine_page_path(5, "m 1") == "/hosts?most=5&after=m%201"
@@ -178,12 +178,12 @@
     ("raw", "expected"),
     [({"error": "no capacity"}, True), ({"error": "trouble"}, False), (None, False)],
 )
-def test_no_capacity_is_told_from_trouble(raw: Any, expected: bool) -> None:
+def test_lack_of_capacity_is_distinguished_from_other_errors(raw: Any, expected: bool) -> None:
     assert is_capacity_error(raw) is expected
 
 
 @pytest.mark.parametrize("status", [*REASONS, HTTPStatus.FORBIDDEN])
-def test_a_status_is_written_as_its_number(status: int) -> None:
+def test_a_status_line_has_the_number_of_the_status(status: int) -> None:
     raw = Response(status).encode()
     assert raw == Response(int(status)).encode()
     assert raw.startswith(b"HTTP/1.1 %d %s\r\n" % (status, REASONS.get(status, "Status").encode()))
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: what is unknown is ignored, what is wrong ends the start with one line."""
+"""Settings files: unknown fields are ignored; an invalid value ends the start with one line."""
 
 from pathlib import Path
 
@@ -50,7 +50,7 @@
 """
 
 
-def test_good_settings_are_read() -> None:
+def test_valid_settings_are_read() -> None:
     config = parse(TEXT)
     assert config.name == "hall-0"
     assert config.peers[0].addr == "127.0.0.1:8082"
@@ -75,7 +75,7 @@
         ("txn_ops = 16\n", "txn_ops = 16\n[params.state.next]\nwrite_rps = 2\n", "write_rps"),
     ],
 )
-def test_wrong_settings_end_the_start_with_one_line(
+def test_invalid_settings_are_rejected_at_the_start_with_one_line(
     old: str, new: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "x.toml"
@@ -98,30 +98,35 @@
         load_operator(str(path))
 
 
-def test_check_accepts_good_settings(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_check_accepts_valid_settings(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "x.toml"
     path.write_text(TEXT)
     assert cli.main(["--config", str(path), "--check"]) == 0
     assert "in order" in capsys.readouterr().out
 
 
-def test_a_cancellation_must_outlast_the_workers_lease() -> None:
-    """A machine cut off keeps a cancelled job's tasks until its lease ends: where that may take
-    longer than a cancellation has, the promise could not be kept."""
-    wrong = TEXT.replace("cancel_s = 42.0", "cancel_s = 23.0")
-    assert wrong != TEXT
+def test_the_time_for_a_cancellation_must_exceed_the_lease_of_the_workers() -> None:
+    """A machine that no controller can reach runs the tasks of a cancelled job until its lease
+    expires. If that may take longer than `cancel_s`, a cancellation could not end in time."""
+    too_short = TEXT.replace("cancel_s = 42.0", "cancel_s = 23.0")
+    assert too_short != TEXT
     with pytest.raises(SettingsError, match=r"cancel_s: 23 must be more than 23\.022"):
-        parse(wrong)
+        parse(too_short)
     parse(TEXT.replace("cancel_s = 42.0", "cancel_s = 23.1"))
 
 
-def test_the_least_of_the_limits_now_and_next_holds_from_the_start() -> None:
-    """They fall without notice: a value or a transaction that is too large then is refused."""
-    more = TEXT.replace("txn_ops = 16\n", "txn_ops = 16\n[params.state.next]\nvalue_kb = 2.0\n")
-    state = parse(more).params.state
+def test_the_lower_of_present_and_announced_limits_applies_from_the_start() -> None:
+    """The state service switches to the announced limits without notice, and then rejects values
+    and transactions that exceed them."""
+    one_limit = TEXT.replace(
+        "txn_ops = 16\n", "txn_ops = 16\n[params.state.next]\nvalue_kb = 2.0\n"
+    )
+    state = parse(one_limit).params.state
     assert (state.value_kb, state.txn_ops, state.write_rps) == (2.0, 16, 50.0)
-    both = more.replace("value_kb = 2.0\n", "value_kb = 99.0\ntxn_ops = 4\nwrite_rps = 15.0\n")
-    state = parse(both).params.state
+    several_limits = one_limit.replace(
+        "value_kb = 2.0\n", "value_kb = 99.0\ntxn_ops = 4\nwrite_rps = 15.0\n"
+    )
+    state = parse(several_limits).params.state
     assert (state.value_kb, state.txn_ops, state.write_rps) == (16.0, 4, 15.0)
     with pytest.raises(SettingsError, match=r"next\.txn_ops"):
-        parse(both.replace("txn_ops = 4\n", "txn_ops = 0\n"))
+        parse(several_limits.replace("txn_ops = 4\n", "txn_ops = 0\n"))
