--- a/tests/sim/test_duties_command.py
+++ b/tests/sim/test_duties_command.py
@@ -22,7 +22,7 @@
 from peathall.http.server import HttpServer
 from peathall.operator_config.file import load_operator
 from peathall.protocol.state_service import KeyValue
-from tests.unit.test_settings import TEXT
+from tests.unit.test_settings import SETTINGS_TOML
 
 DEPLOYED = Path(__file__).parents[2] / "deploy" / "peathall.textproto"
 
@@ -57,7 +57,7 @@
 def check_refuses(text: str, named: str, folder: Path, capsys: pytest.CaptureFixture[str]) -> Path:
     """`--check` says in one line what is wrong with the operators' file, and exits with 2."""
     config, operator = folder / "x.toml", folder / "peathall.textproto"
-    config.write_text(TEXT)
+    config.write_text(SETTINGS_TOML)
     operator.write_text(text)
     arguments = ["--config", str(config), "--operator-config", str(operator), "--check"]
     assert cli.main(arguments) == 2
@@ -141,7 +141,7 @@
 
 def test_no_controller_answers(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "x.toml"
-    path.write_text(TEXT)  # names addresses at which nobody listens
+    path.write_text(SETTINGS_TOML)  # names addresses at which nobody listens
     assert cli.main(["duties", "--config", str(path)]) == 1
     assert capsys.readouterr().err.count("\n") == 1
     assert cli.main(["duties", "--config", str(tmp_path / "none")]) == 2
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -17,7 +17,7 @@
 from peathall.workers.image_cache import ImageCacheRecords
 from tests.sim.fleet_day import FleetPlayer
 from tests.sim.test_days import virtual
-from tests.unit.test_store import lead
+from tests.unit.test_store import leader_guard
 
 MACHINES = 4000
 
@@ -48,7 +48,7 @@
     async def run() -> None:
         store = StateSettings(100.0, 50.0, 2.0, 4)
         nobody: Any = None
-        writer = Writer(nobody, store, lead(), lambda: True, lambda: None)
+        writer = Writer(nobody, store, leader_guard(), lambda: True, lambda: None)
         cluster = ClusterState(1, 1)
         caches = ImageCacheRecords(cluster, writer)
         for number in range(MACHINES):
--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -18,7 +18,7 @@
 from peathall.workers.failing_jobs import FailingJobsRecord
 from peathall.workers.faults import FaultTracker
 from tests.unit.test_planner import spec
-from tests.unit.test_store import LIMITS, lead
+from tests.unit.test_store import LIMITS, leader_guard
 
 
 class FaultyCluster:
@@ -192,7 +192,7 @@
         job = faulty.job(1, 50)
         nothing: Any = SimpleNamespace(limits=None)
         record = FailingJobsRecord(
-            faulty.cluster, faulty.faults, Writer(nothing, LIMITS, lead(), bool, bool)
+            faulty.cluster, faulty.faults, Writer(nothing, LIMITS, leader_guard(), bool, bool)
         )
         faulty.start(job, ["m-0", "m-1", "m-2"], 0.0)
         (make,) = record.writer.deferred.factories.values()
@@ -203,7 +203,7 @@
         later = FaultyCluster(4)
         later.failing.add("j-1")
         again = later.job(1, 50)
-        writer = Writer(nothing, LIMITS, lead(2), bool, bool)
+        writer = Writer(nothing, LIMITS, leader_guard(2), bool, bool)
         FailingJobsRecord(later.cluster, later.faults, writer).load(KeyValue(put.key, put.value, 5))
         assert again.health is JobHealth.FAILING
         later.start(again, ["m-3"], 10.0)
--- a/tests/unit/test_leader.py
+++ b/tests/unit/test_leader.py
@@ -30,8 +30,8 @@
 from peathall.operator_config.settings import Operator
 from peathall.store.errors import StoreError
 from peathall.store.transaction import GuardKey
-from tests.unit.test_protocol_format import SETTINGS, cells_operator
-from tests.unit.test_stored_format import LEASE, RecordingStore, until
+from tests.unit.test_protocol_format import SETTINGS, operator_with_cells
+from tests.unit.test_stored_format import LEASE_ID, RecordingStore, wait_until
 
 TERM = 7
 
@@ -94,8 +94,8 @@
     now = asyncio.get_running_loop().time()
     term = LeaderTerm(
         TERM,
-        GuardKey("lead", {}, 3, LEASE),
-        LEASE,
+        GuardKey("lead", {}, 3, LEASE_ID),
+        LEASE_ID,
         HeldLease(constants.LEADER_LEASE_TTL_S, now),
         duties is not None,
     )
@@ -139,7 +139,7 @@
     async def test() -> None:
         store = UnreliableStore(failures=0)
         duties = make_duties(store) if with_duties else None
-        leader, _ = make_leader(store, cells_operator() if with_cells else None, duties)
+        leader, _ = make_leader(store, operator_with_cells() if with_cells else None, duties)
         assert leader.phase is LeaderPhase.RECOVERING
         assert not leader.is_active()
         assert (leader.cells is not None) is with_cells
@@ -212,11 +212,11 @@
     async def test() -> None:
         store = RecordingStore()
         async with campaigning(store, lead) as election:
-            await until(election.is_leader)
+            await wait_until(election.is_leader)
             await election.resign("a reason")
             assert not election.is_leader()
-            assert store.ended == [LEASE]
-            await until(lambda: election.phase is ElectionPhase.BACKOFF)
+            assert store.revoked_leases == [LEASE_ID]
+            await wait_until(lambda: election.phase is ElectionPhase.BACKOFF)
             assert election.leader_term is None
         assert asyncio.all_tasks() == {asyncio.current_task()}
 
@@ -240,8 +240,8 @@
     async def test() -> None:
         store = RecordingStore()
         async with campaigning(store, lead) as election:
-            await until(lambda: election.phase is ElectionPhase.BACKOFF)
-            assert store.ended == [LEASE]
+            await wait_until(lambda: election.phase is ElectionPhase.BACKOFF)
+            assert store.revoked_leases == [LEASE_ID]
             assert not election.is_leader()
 
     run(test)
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -223,7 +223,7 @@
     """The leader of cell north, which has no machines, in term 4."""
     stub: Any = MagicMock()
     stub.term, stub.types = 4, {}
-    operator = cells_operator()
+    operator = operator_with_cells()
     params = parse(SETTINGS).params
     leader: Any = CellLeader(
         operator.cells, stub, params, stub, stub, stub, stub,
@@ -239,7 +239,7 @@
     )  # fmt: skip
 
 
-def cells_operator() -> Operator:
+def operator_with_cells() -> Operator:
     own = {"name": "north", "neighbour": [{"name": "south", "controller": ["10.0.1.1:8081"]}]}
     return msgspec.convert({"cells": own}, Operator)
 
@@ -1447,7 +1447,7 @@
     async def scenario() -> None:
         leader: Any = FakeLeader()
         leader.cells = new_cell_leader()
-        controller = new_controller(leader, cells_operator())
+        controller = new_controller(leader, operator_with_cells())
         response = await peer_request(controller, "POST", "/cells")
         south = {"cell": "south", "answered_s": None, "machines_free": 0}
         expected = {
@@ -1469,7 +1469,7 @@
 def test_cells_requests_without_a_leader(path: str, status: str, expected: Any) -> None:
     async def scenario() -> None:
         response = await peer_request(
-            new_controller(None, cells_operator()), "POST", path, HANDOFF_OFFER
+            new_controller(None, operator_with_cells()), "POST", path, HANDOFF_OFFER
         )
         check_response(response, status, expected, JSON)
 
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -21,7 +21,7 @@
 from peathall.store.writer import Writer
 from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
-from tests.unit.test_store import FakeStore, lead
+from tests.unit.test_store import FakeStore, leader_guard
 from tests.unit.test_workers import TERM, new_cluster, new_placement, new_workers, report
 
 SMALLEST = StateSettings(100.0, 50.0, 2.0, 4)  # 2 KiB a value, 4 changes a transaction
@@ -48,8 +48,8 @@
 
     async def run() -> None:
         store: Any = FakeStore()
-        store.spare = 50.0
-        writer = Writer(store, SMALLEST, lead(), lambda: True, lambda: None)
+        store.spare_ops = 50.0
+        writer = Writer(store, SMALLEST, leader_guard(), lambda: True, lambda: None)
         writing = asyncio.create_task(writer.run())
         cluster, events = new_cluster()
         rounds = events.records = RoundRecords(cluster, writer)
@@ -95,7 +95,7 @@
 def test_a_deleted_record_is_not_created_anew_by_its_compaction() -> None:
     async def run() -> None:
         store: Any = FakeStore()
-        writer = Writer(store, SMALLEST, lead(), lambda: True, lambda: None)
+        writer = Writer(store, SMALLEST, leader_guard(), lambda: True, lambda: None)
         writing = asyncio.create_task(writer.run())
         cluster, events = new_cluster()
         rounds = events.records = RoundRecords(cluster, writer)
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -8,7 +8,7 @@
 from peathall.config.platform import SettingsError, parse
 from peathall.operator_config.file import load_operator
 
-TEXT = """
+SETTINGS_TOML = """
 member = "hall-0"
 location = "a"
 api_addr = "127.0.0.1:8080"
@@ -51,7 +51,7 @@
 
 
 def test_valid_settings_are_read() -> None:
-    config = parse(TEXT)
+    config = parse(SETTINGS_TOML)
     assert config.name == "hall-0"
     assert config.peers[0].addr == "127.0.0.1:8082"
     assert config.params.teams[0].gpus == 8.0
@@ -79,7 +79,7 @@
     old: str, new: str, named: str, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "x.toml"
-    path.write_text(TEXT.replace(old, new, 1))
+    path.write_text(SETTINGS_TOML.replace(old, new, 1))
     assert cli.main(["--config", str(path), "--check"]) == 2
     err = capsys.readouterr().err
     assert named in err
@@ -100,7 +100,7 @@
 
 def test_check_accepts_valid_settings(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     path = tmp_path / "x.toml"
-    path.write_text(TEXT)
+    path.write_text(SETTINGS_TOML)
     assert cli.main(["--config", str(path), "--check"]) == 0
     assert "in order" in capsys.readouterr().out
 
@@ -108,17 +108,17 @@
 def test_the_time_for_a_cancellation_must_exceed_the_lease_of_the_workers() -> None:
     """A machine that no controller can reach runs the tasks of a cancelled job until its lease
     expires. If that may take longer than `cancel_s`, a cancellation could not end in time."""
-    too_short = TEXT.replace("cancel_s = 42.0", "cancel_s = 23.0")
-    assert too_short != TEXT
+    too_short = SETTINGS_TOML.replace("cancel_s = 42.0", "cancel_s = 23.0")
+    assert too_short != SETTINGS_TOML
     with pytest.raises(SettingsError, match=r"cancel_s: 23 must be more than 23\.022"):
         parse(too_short)
-    parse(TEXT.replace("cancel_s = 42.0", "cancel_s = 23.1"))
+    parse(SETTINGS_TOML.replace("cancel_s = 42.0", "cancel_s = 23.1"))
 
 
 def test_the_lower_of_present_and_announced_limits_applies_from_the_start() -> None:
     """The state service switches to the announced limits without notice, and then rejects values
     and transactions that exceed them."""
-    one_limit = TEXT.replace(
+    one_limit = SETTINGS_TOML.replace(
         "txn_ops = 16\n", "txn_ops = 16\n[params.state.next]\nvalue_kb = 2.0\n"
     )
     state = parse(one_limit).params.state
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -41,7 +41,7 @@
     def __init__(self) -> None:
         self.data: dict[str, tuple[Any, int]] = {"lead": ({"member": "a"}, 1)}
         self.revision = 1
-        self.spare = 12.0  # operations that deferred writes may use now
+        self.spare_ops = 12.0  # operations that deferred writes may use now
         self.first_reported_after = 0  # watches report only changes after this revision
         # One entry for each of the next commits, which get no response: whether it is carried out.
         self.lost_responses: list[bool] = []
@@ -50,7 +50,7 @@
         self.commits = 0
 
     def spare_writes(self) -> float:
-        return self.spare
+        return self.spare_ops
 
     async def get(self, key: str, prioritized: bool = False) -> KeyValue | None:
         found = self.data.get(key)
@@ -100,14 +100,14 @@
 LIMITS = StateSettings(100.0, 50.0, 8.0, 12)
 
 
-def lead(version: int = 1) -> GuardKey:
+def leader_guard(version: int = 1) -> GuardKey:
     return GuardKey("lead", {"member": "a"}, version, None)
 
 
 def new_writer(store: FakeStore) -> Writer:
     client: Any = store
     assert isinstance(client, FakeStore | StoreClient)
-    return Writer(client, LIMITS, lead(), lambda: True, lambda: None)
+    return Writer(client, LIMITS, leader_guard(), lambda: True, lambda: None)
 
 
 @asynccontextmanager
@@ -323,7 +323,7 @@
 
 def test_a_deferred_write_is_written_once_in_its_latest_state_when_there_is_capacity() -> None:
     store = FakeStore()
-    store.spare = 0.0
+    store.spare_ops = 0.0
     state = {"n": 0}
 
     async def run() -> None:
@@ -334,7 +334,7 @@
                 writer.defer("hint", lambda: Mutation({}, [Put("hint", dict(state))]))
                 await writer.submit([Put(f"job/{state['n']}", 1)])
                 assert "hint" not in store.data  # no spare capacity
-            store.spare = 12.0
+            store.spare_ops = 12.0
             await writer.submit([Put("job/4", 1)])
             assert store.data["hint"] == ({"n": 3}, store.data["job/4"][1])
 
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -58,7 +58,7 @@
 from tests.unit.test_workers import new_autoscaler, new_workers
 
 TERM = 7
-LEASE = 71
+LEASE_ID = 71
 WALL_TIME = 1700000000.5  # Unix time, s
 FIRST_NUMBER = 30064771073  # the first attempt number and epoch of term 7: 7 * 2**32 + 1
 
@@ -182,7 +182,7 @@
         del self.data["lead"]
         self.written: dict[str, list[Any]] = {}
         self.lease_by_key: dict[str, int | None] = {}
-        self.ended: list[int] = []
+        self.revoked_leases: list[int] = []
 
     def apply(self, conditions: dict[str, int], ops: list[Any]) -> int:
         revision = super().apply(conditions, ops)
@@ -193,13 +193,13 @@
         return revision
 
     async def grant_lease(self, ttl_s: float) -> int:
-        return LEASE
+        return LEASE_ID
 
     async def renew_lease(self, lease_id: int, timeout: float) -> None:
-        assert lease_id == LEASE
+        assert lease_id == LEASE_ID
 
     async def revoke_lease(self, lease_id: int) -> None:
-        self.ended.append(lease_id)
+        self.revoked_leases.append(lease_id)
         self.data.pop("lead", None)
 
     async def watch(self, prefix: str, after: int) -> None:
@@ -210,10 +210,10 @@
 
     async def next_write(self, key: str, times: int = 1) -> None:
         """Wait until the key has been written `times` times in all."""
-        await until(lambda: len(self.written.get(key, ())) >= times, lambda: str(self.written))
+        await wait_until(lambda: len(self.written.get(key, ())) >= times, lambda: str(self.written))
 
 
-async def until(condition: Callable[[], bool], details: Callable[[], str] = str) -> None:
+async def wait_until(condition: Callable[[], bool], details: Callable[[], str] = str) -> None:
     for _ in range(500):
         if condition():
             return
@@ -292,7 +292,7 @@
     """A record cache that has read the stored records and watches them inside the block."""
     record_cache = DutyRecordCache(store)
     task = asyncio.create_task(record_cache.run())
-    await until(lambda: record_cache.known)
+    await wait_until(lambda: record_cache.known)
     try:
         yield record_cache
     finally:
@@ -319,14 +319,14 @@
 
     store = run_with_store(test)
     assert_written(store, {"lead": [LEADER | {"term": after["n"]}], "term": [after]})
-    assert store.lease_by_key == {"lead": LEASE, "term": None}
+    assert store.lease_by_key == {"lead": LEASE_ID, "term": None}
 
 
 def test_the_leader_record_of_an_earlier_process_is_read_and_its_lease_revoked() -> None:
     async def test(store: RecordingStore) -> None:
         store.write("lead", LEADER)
         await win_election(store)
-        assert store.ended == [LEASE]
+        assert store.revoked_leases == [LEASE_ID]
 
     run_with_store(test)
 
@@ -342,9 +342,9 @@
         gate = DutyGate(client, Mode.OFF)
         election = Election("hall-2", client, lead, random.Random(1), gate)
         task = asyncio.create_task(election.run())
-        await until(lambda: election.leader == "hall-1")
+        await wait_until(lambda: election.leader == "hall-1")
         task.cancel()
-        assert not store.ended
+        assert not store.revoked_leases
 
     run_with_store(test)
 
@@ -400,7 +400,7 @@
             daemon.mark_all_done()
             jobs.note_done(daemon)
             await cancelling
-            await until(lambda: not jobs.cluster.jobs)
+            await wait_until(lambda: not jobs.cluster.jobs)
 
     store = run_with_store(test)
     store.written[FINAL_STATUSES_KEY][0]["ends"].sort()  # either may be stored first
@@ -432,7 +432,7 @@
             gang, _ = load_jobs(jobs)
             gang.mark_done(0)
             assert (await jobs.cancel("j-41"))[0] == 200
-            await until(lambda: "j-41" not in jobs.cluster.jobs)
+            await wait_until(lambda: "j-41" not in jobs.cluster.jobs)
 
     assert_written(
         run_with_store(test),
@@ -469,7 +469,7 @@
             for low, high in ((0, 3), (869, 871), (980, 985)):
                 job.done.add(low, high)
             jobs.note_done(job)
-            await until(lambda: len(store.written) == 2, lambda: str(store.written))
+            await wait_until(lambda: len(store.written) == 2, lambda: str(store.written))
 
     assert_written(run_with_store(test), {key: [value] for key, value in DONE_TASKS.items()})
 
@@ -629,7 +629,7 @@
 
     store = run_with_store(test)
     assert_written(store, {f"duties/holder/{name}": [HOLDER], f"duties/token/{name}": [TOKEN]})
-    assert store.lease_by_key == {f"duties/holder/{name}": LEASE, f"duties/token/{name}": None}
+    assert store.lease_by_key == {f"duties/holder/{name}": LEASE_ID, f"duties/token/{name}": None}
 
 
 @pytest.mark.parametrize(("name", "duty"), DUTIES)
@@ -669,7 +669,7 @@
     store.write("lead", LEADER)
     store.write(key, HOLDER)
     holder = HolderRecord(member="hall-1", token=5, lease=71, since=WALL_TIME, vacant_s=2.5)
-    record = GuardKey(key, HOLDER, store.revision, LEASE)
+    record = GuardKey(key, HOLDER, store.revision, LEASE_ID)
     ownership = Ownership(holder, record, HeldLease(20.0, 0.0))
     claim: Any = SimpleNamespace(
         may_act=lambda: True, may_begin=lambda: True, on_ownership_lost=lambda: None
@@ -794,7 +794,7 @@
             borrower.apply_ruling(
                 "north", Ruling("j-41", FIRST_NUMBER, Verdict.GRANTED, 600.0), 0.0
             )
-            await until(lambda: "j-41" in jobs.cluster.jobs)
+            await wait_until(lambda: "j-41" in jobs.cluster.jobs)
             borrower.finish(jobs.cluster.jobs["j-41"])
             await store.next_write(BORROWED_KEY, 3)
 
--- a/tests/unit/test_workers.py
+++ b/tests/unit/test_workers.py
@@ -39,7 +39,7 @@
 from peathall.workers.image_cache import ImageCacheRecords
 from peathall.workers.workers import Workers
 from tests.unit.test_planner import spec
-from tests.unit.test_store import lead
+from tests.unit.test_store import leader_guard
 
 KIND = MachineType("g", 8.0, 0.0, 16.0, 50.0, 1.0, 10.0, 3.0, 30.0, ["a"])
 TERM = 5
@@ -353,7 +353,7 @@
 
     async def run() -> None:
         store = StateSettings(100.0, 50.0, 8.0, 12)
-        writer = Writer(None, store, lead(), lambda: True, lambda: None)  # type: ignore[arg-type]
+        writer = Writer(None, store, leader_guard(), lambda: True, lambda: None)  # type: ignore[arg-type]
         workers = new_workers(0.0)
         caches = ImageCacheRecords(workers.cluster, writer)
         for number in range(900):
@@ -364,7 +364,7 @@
         records = [make() for make in writer.deferred.factories.values()]
         assert len(records) == constants.IMAGE_CACHE_RECORDS
         later = ImageCacheRecords(
-            workers.cluster, Writer(None, store, lead(), lambda: True, lambda: None)
+            workers.cluster, Writer(None, store, leader_guard(), lambda: True, lambda: None)
         )  # type: ignore[arg-type]
         puts = [op for change in records if change is not None for op in change.ops]
         assert all(json_size(op.value) <= 8 * 1024 for op in puts)  # type: ignore[union-attr]
