--- a/tests/unit/test_faults.py
+++ b/tests/unit/test_faults.py
@@ -18,7 +18,7 @@
 from peathall.workers.failing_jobs import FailingJobsRecord
 from peathall.workers.faults import FaultTracker
 from tests.unit.test_planner import spec
-from tests.unit.test_store import LIMITS, lead
+from tests.unit.test_store import LIMITS, leader_guard
 
 
 class FaultyCluster:
@@ -195,7 +195,7 @@
         job = faulty.job(1, 50)
         store: Any = SimpleNamespace(limits=None)
         record = FailingJobsRecord(
-            faulty.cluster, faulty.faults, Writer(store, LIMITS, lead(), bool, bool)
+            faulty.cluster, faulty.faults, Writer(store, LIMITS, leader_guard(), bool, bool)
         )
         faulty.start(job, ["m-0", "m-1", "m-2"], 0.0)
         (make_mutation,) = record.writer.deferred.factories.values()
@@ -206,7 +206,7 @@
         recovered = FaultyCluster(4)
         recovered.failing.add("j-1")
         recovered_job = recovered.job(1, 50)
-        writer = Writer(store, LIMITS, lead(2), bool, bool)
+        writer = Writer(store, LIMITS, leader_guard(2), bool, bool)
         FailingJobsRecord(recovered.cluster, recovered.faults, writer).load(
             KeyValue(put.key, put.value, 5)
         )
