--- a/peathall/__init__.py
+++ b/peathall/__init__.py
@@ -1,3 +1,3 @@
-"""peathall: a cluster scheduler; one leader decides, the other controllers stand by."""
+"""peathall: a cluster scheduler; one controller leads, the others are followers."""
 
 __version__ = "0.1.0"
--- a/peathall/cli.py
+++ b/peathall/cli.py
@@ -1,4 +1,4 @@
-"""Command line of a controller, and of the commands that ask controllers for their status."""
+"""Command line: starts a controller, checks its settings, or runs a status command."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a controller, check its settings, or ask controllers for their status.
+    """Run a controller, check its settings, or run a status command.
 
-    The exit code: 0 on success, 1 if an address can't be listened on or no controller answers, 2
-    for wrong settings or arguments.
+    The exit code: 0 on success, 1 if an address can't be listened on or no controller responds, 2
+    for invalid settings or arguments.
     """
     arguments = sys.argv[1:] if argv is None else argv
     command = _status_command(arguments[0]) if arguments else None
@@ -66,7 +66,8 @@
 
 
 def _status_command(name: str) -> StatusCommand[Any] | None:
-    """The command of that name, if it is one. Imported here only: a controller needs none."""
+    """The status command of that name, or None. The imports are here because a controller needs no
+    status command, and an import costs start-up time."""
     if name == "duties":
         from peathall.duties.command import COMMAND as DUTIES_COMMAND
 
@@ -79,10 +80,11 @@
 
 
 def _load_operator(path: str | None, settings: Settings) -> Operator:
-    """The operators' settings, checked against the platform's; SettingsError if they are wrong."""
+    """The operators' settings, checked against the platform's; the defaults without a file.
+    SettingsError if they are invalid."""
     if not path:
         return Operator()
-    # Imported here only: most controllers have no such file.
+    # Imported here because most controllers have no such file, and protobuf is slow to import.
     from peathall.operator_config.file import load_operator
 
     operator = load_operator(path)
@@ -94,7 +96,7 @@
 
 
 def _run(settings: Settings, operator: Operator) -> int:
-    # Imported here only: a check of the settings needs neither a controller nor an event loop.
+    # Imported here because --check needs neither a controller nor an event loop.
     from peathall.controller.process import run_process
 
     try:
@@ -103,5 +105,5 @@
         print(f"peathall: {exc}", file=sys.stderr)
         return 1
     except KeyboardInterrupt:
-        pass  # ended by the operator at a terminal
+        pass  # stopped by Ctrl-C at a terminal
     return 0
--- a/peathall/config/__init__.py
+++ b/peathall/config/__init__.py
@@ -1,1 +1,1 @@
-"""The settings file of the platform: its sections and their bounds, parsing and checks."""
+"""The platform's settings file: its sections and their bounds, parsing and validation."""
--- a/peathall/config/modes.py
+++ b/peathall/config/modes.py
@@ -1,4 +1,4 @@
-"""How a controller takes part in an optional feature."""
+"""Modes of the optional features, duties and cells."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class Mode(Enum):
-    """How a controller takes part in an optional feature; the values are those of the operators'
-    file."""
+    """How a controller takes part in an optional feature. The values are the spellings in the
+    operators' settings file."""
 
-    OFF = "off"  # does not take part, and does not lead while others have it on
+    OFF = "off"  # takes no part; cannot become leader while the cluster has the feature on
     ON = "on"
-    RETIRING = "retiring"  # completes what is outstanding and begins nothing new
+    RETIRING = "retiring"  # completes outstanding work and begins no new work
--- a/peathall/config/platform.py
+++ b/peathall/config/platform.py
@@ -1,8 +1,8 @@
 """The platform's settings file (TOML): its sections, their bounds, and the checks across sections.
 
-Field names are those of the file, or have theirs as the encoded name. Names in `_s` are seconds, in
-`_ms` milliseconds, in `_kb` and `_mb` KiB and MiB; `rps` is requests per second. What the file has
-beyond these fields is ignored.
+A field has its name in the file, or gives that name with `field(name=...)`. The unit is the end of
+a field's name: `_s` seconds, `_ms` milliseconds, `_kb` KiB, `_mb` MiB, `rps` requests per second.
+Unknown fields in the file are ignored.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class SettingsError(Exception):
-    """A setting is missing or wrong; the message is one clear line."""
+    """A setting is missing or invalid; the message is one line for the operator."""
 
 
 class Peer(Struct, frozen=True):
@@ -27,18 +27,18 @@
 
     name: Name = field(name="member")
     zone: str = field(name="location")
-    addr: Address = field(name="endpoint")  # its `back`
+    addr: Address = field(name="endpoint")  # the `back` address in that controller's settings
 
 
 class Services(Struct, frozen=True):
-    """Section `services`: addresses of the cloud and of the state service."""
+    """Section `services`: addresses of the cloud provider and of the state service."""
 
     cloud: Address
     state: Address
 
 
 class Team(Struct, frozen=True):
-    """Section `params.teams`: the quota of a team. 0 means nothing guaranteed, or no limit."""
+    """Section `params.teams`: the quota of a team. 0 is no guarantee, or no limit."""
 
     name: Name
     cpus: NotNegative = 0.0  # guaranteed
@@ -50,32 +50,32 @@
 class Objective(Struct, frozen=True):
     """Section `params.objectives`: a service-level objective for a class of jobs."""
 
-    kind: str  # "wait", "finished" and "deadline" have an effect on placement (placement/ordering)
-    class_name: str | None = field(name="class", default=None)  # of the jobs; without it, of none
+    kind: str  # placement/ordering uses "wait", "finished" and "deadline" and ignores others
+    class_name: str | None = field(name="class", default=None)  # of the jobs; None: no jobs
     within_s: float | None = None  # from submission to start (wait) or to the end (finished)
-    share: float | None = None  # of the jobs that should meet it; not used here
-    times: float | None = None  # the job's own deadline may take so many times as long
+    share: float | None = None  # of the jobs that should meet the objective; read, but not used
+    times: float | None = None  # factor on the job's own deadline_s (deadline)
 
 
 class WorkerSettings(Struct, frozen=True):
-    """Section `params.workers`: times that the workers keep to."""
+    """Section `params.workers`: the workers' intervals and time limits."""
 
     report_s: Positive  # interval of a worker's heartbeats
-    lease_s: Positive  # without a response for so long, a worker kills its tasks
-    gang_wait_s: Positive  # a task waits so long for its gang to become complete
-    gang_peer_s: Positive  # within which the tasks of a gang notice that one of them is gone
-    cancel_s: Positive  # within which no task of a cancelled job may run any more
+    lease_s: Positive  # a worker without a response for this long kills its tasks
+    gang_wait_s: Positive  # a task waits this long for all tasks of its gang to be ready
+    gang_peer_s: Positive  # the tasks of a gang detect the loss of one of them within this time
+    cancel_s: Positive  # no task of a job may run later than this after its cancellation
 
     @property
     def lease_expiry_s(self) -> float:
-        """Time after the last response that may have renewed a worker's lease until it certainly
-        has no tasks any more, whatever the drift of its clock; s."""
+        """Seconds from the last response that may have renewed a worker's lease until the worker
+        has certainly killed its tasks, at any clock drift up to CLOCK_DRIFT."""
         return self.lease_s * (1 + 2 * constants.CLOCK_DRIFT) + constants.LEASE_EXPIRY_MARGIN_S
 
 
 class NextLimits(Struct, frozen=True):
-    """Section `params.state.next`: limits that the state service will have from a moment on that
-    is not announced; None: unchanged."""
+    """Section `params.state.next`: limits of the state service after a change that comes at an
+    unannounced time. None: the limit does not change."""
 
     rps: Positive | None = None
     write_rps: Positive | None = None
@@ -87,20 +87,20 @@
     """Section `params.state`: limits of the state service."""
 
     rps: Positive  # requests per second
-    write_rps: Positive  # puts and deletes per second; a burst is worth one second
+    write_rps: Positive  # puts and deletes per second; a burst may use one second's worth
     value_kb: Positive  # size of a value
     txn_ops: Annotated[int, Meta(ge=4)]  # puts and deletes in one transaction
     next: NextLimits | None = None
 
     @property
     def max_operations(self) -> int:
-        """Largest number of puts and deletes in one transaction: the service takes no more of them,
-        and never accepts more than its rate limit's burst, which is worth one second."""
+        """Maximum number of puts and deletes in one transaction. Besides `txn_ops` the burst of the
+        write rate limits it: a larger transaction would never be accepted."""
         return max(constants.MIN_TRANSACTION_OPS, min(self.txn_ops, int(self.write_rps)))
 
     def lowest(self) -> StateSettings:
-        """The limits that are kept now and after the announced change, since its moment is not
-        known: of each limit the lower value."""
+        """The lower of the present and the announced value of each limit: since the time of the
+        change is not known, requests keep to both from the start."""
         if self.next is None:
             return self
         announced = msgspec.structs.asdict(self.next)
@@ -113,14 +113,14 @@
 
 
 class CloudSettings(Struct, frozen=True):
-    """Section `params.cloud`: limits of the cloud."""
+    """Section `params.cloud`: limits of the cloud provider."""
 
     rps: Positive  # requests per second
-    list_lag_s: NotNegative  # the machine list may be so much out of date
+    list_lag_s: NotNegative  # maximum age of the information in the machine list
 
 
 class MachineLimits(Struct, frozen=True):
-    """Section `params.machine_limits`: what a controller may use of the machine that it runs on."""
+    """Section `params.machine_limits`: resources that a controller may use on its own machine."""
 
     cpu_share: Positive = 1.0  # cores
     ram_mb: Positive = 1024.0
@@ -128,7 +128,7 @@
 
 
 class Params(Struct, frozen=True):
-    """Section `params`: what all controllers of a site have in common."""
+    """Section `params`: settings that all controllers of a site share."""
 
     workers: WorkerSettings
     state: StateSettings
@@ -136,7 +136,7 @@
     teams: list[Team]
     size: Annotated[int, Meta(ge=1)] = 1  # number of controllers
     zones: list[str] = []
-    clock_off_ms: NotNegative = 0.0  # of clocks; read, but not used here
+    clock_off_ms: NotNegative = 0.0  # offset of clocks; read, but not used
     objectives: list[Objective] = []
     machine_limits: MachineLimits = MachineLimits()
 
@@ -160,15 +160,15 @@
 
 
 def _check_names(settings: Settings) -> None:
-    """Controllers find each other by name."""
+    """Check that names are unique, since controllers identify each other by name."""
     names = [settings.name, *(peer.name for peer in settings.peers)]
     if len(set(names)) != len(names):
         raise SettingsError("member: two controllers have the same name")
 
 
 def _check_cancellation(workers: WorkerSettings) -> None:
-    """A machine that no controller can reach keeps the tasks of a cancelled job until its lease
-    expires: a cancellation must have more time than that."""
+    """Check that a cancellation has more time than a worker's lease: a partitioned machine keeps
+    the tasks of a cancelled job until its lease expires."""
     if workers.cancel_s <= workers.lease_expiry_s:
         raise SettingsError(
             f"params.workers.cancel_s: {workers.cancel_s:g} must be more than"
@@ -178,7 +178,8 @@
 
 
 def _check_write_rate(state: StateSettings) -> None:
-    """A transaction of more operations than the rate limit's burst would never be accepted."""
+    """Check that the burst of the write rate, one second's worth, has room for the largest
+    indivisible transaction: otherwise that transaction would never be accepted."""
     if state.write_rps < constants.MIN_TRANSACTION_OPS:
         raise SettingsError(
             f"params.state.write_rps: {state.write_rps:g} must be at least"
@@ -187,8 +188,8 @@
 
 
 def parse(text: str) -> Settings:
-    """Settings from the text of their file, with the lowest of present and announced limits of the
-    state service; SettingsError if they are not valid."""
+    """Parse and check the text of a settings file; SettingsError if it is not valid. The limits of
+    the state service in the result are the lower of the present and the announced ones."""
     try:
         raw = tomllib.loads(text)
     except tomllib.TOMLDecodeError as exc:
@@ -206,8 +207,8 @@
 
 
 def load(path: str | os.PathLike[str]) -> Settings:
-    """Settings from their file; SettingsError, which names the file, if it cannot be read or is not
-    valid."""
+    """Read, parse and check a settings file; SettingsError, which names the file, if it cannot be
+    read or is not valid."""
     try:
         with open(path, encoding="utf-8") as file:
             return parse(file.read())
--- a/peathall/config/types.py
+++ b/peathall/config/types.py
@@ -1,4 +1,4 @@
-"""Types of settings that several sections share, with the bounds that are checked."""
+"""Types of settings that several sections share; their bounds are checked on parsing."""
 
 from __future__ import annotations
 
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -1,25 +1,25 @@
-"""Every constant of the service, with its unit and the reason for its value.
+"""Constants that are the same at every site.
 
-What a site decides (lease lengths, rate limits, machine types, objectives) is not here: it is
-read from the settings file or requested from the cloud at run time. A unit stands in the name
-(`_S` seconds, `_BYTES`) or first in the comment.
+Values that differ between sites come from elsewhere: lease durations, rate limits and objectives
+from the settings file, machine types from the cloud provider at run time. The unit of a constant is
+the end of its name (`_S` seconds, `_BYTES`) or the beginning of its comment.
 """
 
 # --- HTTP ---------------------------------------------------------------------------------------
-MAX_BODY = 64 * 1024  # bytes; the protocol's limit for request bodies
-IDLE_CONNECTION_S = 40.0  # users poll every 5 s and workers every 3 s: longer is abandoned
+MAX_BODY = 64 * 1024  # bytes; the protocol's limit for a request body
+IDLE_CONNECTION_S = 40.0  # users poll every 5 s, workers every 3 s: the client is gone by then
 SLOW_REQUEST_S = 10.0  # a request that takes longer to arrive comes from a slow or broken client
-CONNECTION_SWEEP_S = (
-    5.0  # between searches for idle and slow connections (one timer for all of them)
-)
+CONNECTION_SWEEP_S = 5.0  # between checks of all connections for idle and slow ones
 CALLER_SOCKET_SHARE = 0.75  # of the socket limit: connections of workers and users
-# Of the callers' connections: above this share workers' connections close after each response.
+# Share of those connections in use above which a worker's connection is closed after each response:
+# workers can reconnect at little cost.
 NEAR_LIMIT_SHARE = 0.85
 PEER_SOCKET_SHARE = 0.1  # of the socket limit: connections of other controllers
-# Of the socket limit: commands sent straight to workers. The rest is for our other requests.
+# Of the socket limit: commands sent directly to workers. The rest is for this controller's other
+# requests.
 DIRECT_COMMAND_SOCKET_SHARE = 0.1
-CONNECT_S = 1.0  # connection attempts across a network partition hang without an error
-POOL_IDLE_S = 20.0  # a pooled connection that was idle for longer is not reused
+CONNECT_S = 1.0  # a connection attempt across a network partition hangs without an error
+POOL_IDLE_S = 20.0  # a pooled connection that has been idle for longer is not reused
 
 # --- request queue: how long a request may wait for admission under overload ---------------------
 HEARTBEAT_QUEUE_S = 3.0  # a worker waits 4 s for the response
--- a/peathall/operator_config/__init__.py
+++ b/peathall/operator_config/__init__.py
@@ -1,1 +1,1 @@
-"""The settings that operators make for optional features, and the file that holds them."""
+"""The operators' own settings, for the optional features, and the file that holds them."""
--- a/peathall/operator_config/file.py
+++ b/peathall/operator_config/file.py
@@ -1,11 +1,13 @@
-"""Reader of the operators' file: protobuf text format, by a schema that is built here.
+"""Reader of the operators' settings file: protobuf text format, with the schema built below.
+
+An example of all sections:
 
     idle_hold_s: 45
     duties { mode: "on" hold: "renting" hold: "returning" lease_s: 5 }
     cells { name: "north" neighbour { name: "south" controller: "10.0.1.1:8081" } lease_s: 30 }
 
-Imported only by a controller that is given such a file: the protobuf library costs start-up time
-and memory.
+A controller without such a file does not import this module: the protobuf library costs start-up
+time and memory.
 """
 
 from __future__ import annotations
@@ -31,8 +33,8 @@
 
 
 def _message_type(name: str, fields: list[tuple[str, int, int, str]]) -> Any:
-    """A message type with these fields, numbered from 1: name, type, label, and the type's name of
-    a field that is a message itself."""
+    """A message type whose fields are numbered from 1. Each field is given as name, type, label and
+    type name, which is empty unless the field is a message."""
     descriptor = descriptor_pb2.DescriptorProto(name=name)
     for number, (field, field_type, label, type_name) in enumerate(fields, 1):
         descriptor.field.add(
@@ -42,7 +44,7 @@
 
 
 def _new_message() -> Message:
-    """An empty message of the operators' schema."""
+    """An empty message of type `Operator`, whose schema is that of the operators' file."""
     optional, repeated = Field.LABEL_OPTIONAL, Field.LABEL_REPEATED
     schema = descriptor_pb2.FileDescriptorProto(name="peathall.proto", package=PACKAGE)
     schema.message_type.append(
@@ -93,8 +95,8 @@
 
 
 def _parse(text: str) -> Message:
-    """The message of a file by our schema or, in an older form of the file, a
-    google.protobuf.Struct. text_format.ParseError if it is neither."""
+    """Parse the text of a file by the schema or, if it begins with `fields`, as the older form of
+    the file, a google.protobuf.Struct. text_format.ParseError if it is neither."""
     message = _new_message()
     try:
         text_format.Parse(text, message)
@@ -107,8 +109,8 @@
 
 
 def load_operator(path: str) -> Operator:
-    """The operators' settings from their file; SettingsError, which names the file, if it cannot be
-    read or is not valid."""
+    """Read and check the operators' settings file; SettingsError, which names the file, if it
+    cannot be read or is not valid."""
     try:
         with open(path, encoding="utf-8") as file:
             message = _parse(file.read())
--- a/peathall/operator_config/settings.py
+++ b/peathall/operator_config/settings.py
@@ -1,4 +1,4 @@
-"""The operators' own settings, composed of the sections of the optional features."""
+"""The operators' own settings: one section for each optional feature."""
 
 from __future__ import annotations
 
@@ -11,18 +11,20 @@
 
 
 class Operator(Struct, frozen=True, forbid_unknown_fields=True):
-    """The operators' file; without one, the defaults hold. Unknown fields are an error."""
+    """The whole operators' settings file. A controller without one uses the defaults. Unknown
+    fields are an error."""
 
-    idle_hold_s: NotNegative | None = None  # how long idle machines are kept; None: see ScaleIn
+    # How long idle machines are kept; None: scale-in weighs what they cost.
+    idle_hold_s: NotNegative | None = None
     duties: DutySettings | None = None
     cells: CellSettings | None = None
 
     @property
     def duty_mode(self) -> Mode:
-        """How this controller takes part in duties: not at all without a section."""
+        """How this controller takes part in duties; off without a `duties` section."""
         return self.duties.mode if self.duties is not None else Mode.OFF
 
     @property
     def cell_mode(self) -> Mode:
-        """How this controller takes part in cells: not at all without a section."""
+        """How this controller takes part in cells; off without a `cells` section."""
         return self.cells.mode if self.cells is not None else Mode.OFF
--- a/peathall/status_command.py
+++ b/peathall/status_command.py
@@ -1,4 +1,4 @@
-"""Commands for operators that ask controllers for the status of a feature, and print it."""
+"""Operator commands that request the status of a feature from a controller and print it."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusCommand(Generic[S]):
-    """One such command: which status it requests, and how it prints it."""
+    """A status command: which status it requests, and how the status is printed."""
 
     name: str
     description: str
-    path: str  # of the status, at the controllers' addresses for other controllers
+    path: str  # of the status, on the `back` addresses of controllers
     status_type: type[S]
-    reasons: Mapping[int, str]  # HTTP status of a refusal -> what it means
-    format_lines: Callable[[S, float], list[str]]  # the status as text, at a time of day
+    reasons: Mapping[int, str]  # HTTP status of an error response -> its meaning
+    format_lines: Callable[[S, float], list[str]]  # (status, present Unix time) -> lines of text
 
     def build_parser(self) -> argparse.ArgumentParser:
         """The parser of the command's arguments."""
@@ -46,8 +46,8 @@
         return parser
 
     async def fetch(self, addresses: list[str]) -> tuple[S | None, list[str]]:
-        """The status from the first controller that gives it, None if none does; and why the
-        controllers that were asked before it gave none."""
+        """The status from the first address that gives it, None if none does; and the failures of
+        the addresses that were tried before it."""
         failures: list[str] = []
         for address in addresses:
             try:
@@ -63,7 +63,7 @@
 
     def main(self, argv: list[str]) -> int:
         """Fetch and print the status. The exit code: 0 on success, 1 if no controller gives it, 2
-        for wrong settings; argparse exits with 2 itself for wrong arguments."""
+        for invalid settings; argparse itself exits with 2 for invalid arguments."""
         args = self.build_parser().parse_args(argv)
         addresses = args.controller
         if addresses is None:
--- a/run.py
+++ b/run.py
@@ -1,4 +1,4 @@
-"""Start peathall from a checkout whose libraries were built under target/deps."""
+"""Start peathall from a checkout whose dependencies are installed under target/deps."""
 
 import sys
 from pathlib import Path
