--- a/bench/larger.py
+++ b/bench/larger.py
@@ -18,7 +18,7 @@
 from typing import Any
 
 from peathall.cells.settings import CellSettings, Neighbour
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from tests.sim.fleet_day import FleetPlayer
 from tests.sim.net import Host, MemoryTransport, VirtualLoop
 from tests.sim.test_days import virtual
@@ -44,7 +44,7 @@
 
 
 # A neighbour that never answers: its heartbeats are made up all the same.
-CELLS = Operator(cells=CellSettings("here", [Neighbour("there", ["10.0.9.1:8081"])]))
+CELLS = OperatorSettings(cells=CellSettings("here", [Neighbour("there", ["10.0.9.1:8081"])]))
 
 
 def play(machines: int, share: float, cells: bool) -> None:
--- a/bench/spill.py
+++ b/bench/spill.py
@@ -22,7 +22,7 @@
 import numpy
 from hdrh.histogram import HdrHistogram
 
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from tests.sim.cells_world import LEASE_S, Cells
 from tests.sim.test_days import virtual
 
@@ -102,7 +102,7 @@
         cells = Cells(loop, seed, CELLS)
         for world in cells.worlds:
             for index, operator in world.controller_hosts.operators.items():
-                plain = Operator(idle_hold_s=IDLE_S)
+                plain = OperatorSettings(idle_hold_s=IDLE_S)
                 cell = msgspec.structs.replace(operator, idle_hold_s=IDLE_S)
                 world.controller_hosts.operators[index] = cell if spilling else plain
         loop.run_until_complete(day(cells, seconds, numpy.random.default_rng(seed), outcome))
--- a/peathall/cli.py
+++ b/peathall/cli.py
@@ -10,7 +10,7 @@
 
 from peathall import __version__
 from peathall.config.platform import Settings, SettingsError, load
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 
 if TYPE_CHECKING:
     from peathall.status_command import StatusCommand
@@ -55,14 +55,14 @@
         if level not in LOG_LEVELS:
             raise SettingsError(f"LOG_LEVEL: {level!r} is none of {', '.join(LOG_LEVELS)}")
         settings = load(args.config)
-        operator = _load_operator(args.operator_config, settings)
+        operator_settings = _load_operator_settings(args.operator_config, settings)
     except SettingsError as exc:
         print(f"peathall: {exc}", file=sys.stderr)
         return 2
     if args.check:
         print(f"settings of {settings.name} are in order")
         return 0
-    return _run(settings, operator)
+    return _run(settings, operator_settings)
 
 
 def _status_command(name: str) -> StatusCommand[Any] | None:
@@ -79,28 +79,28 @@
     return None
 
 
-def _load_operator(path: str | None, settings: Settings) -> Operator:
+def _load_operator_settings(path: str | None, settings: Settings) -> OperatorSettings:
     """The operators' settings, checked against the platform's; the defaults without a file.
     SettingsError if they are invalid."""
     if not path:
-        return Operator()
+        return OperatorSettings()
     # Imported here because most controllers have no such file, and protobuf is slow to import.
-    from peathall.operator_config.file import load_operator
+    from peathall.operator_config.file import load_operator_settings
 
-    operator = load_operator(path)
-    if operator.cells is not None:
-        problem = operator.cells.problem(settings.params.workers.lease_expiry_s)
+    operator_settings = load_operator_settings(path)
+    if operator_settings.cells is not None:
+        problem = operator_settings.cells.problem(settings.params.workers.lease_expiry_s)
         if problem:
             raise SettingsError(f"{path}: {problem}")
-    return operator
+    return operator_settings
 
 
-def _run(settings: Settings, operator: Operator) -> int:
+def _run(settings: Settings, operator_settings: OperatorSettings) -> int:
     # Imported here because --check needs neither a controller nor an event loop.
     from peathall.controller.process import run_process
 
     try:
-        run_process(settings, operator)
+        run_process(settings, operator_settings)
     except OSError as exc:
         print(f"peathall: {exc}", file=sys.stderr)
         return 1
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -6,11 +6,11 @@
 """
 
 # --- HTTP ---------------------------------------------------------------------------------------
-MAX_BODY = 64 * 1024  # bytes; the protocol's limit for a request body
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for a request body
 IDLE_CONNECTION_S = 40.0  # users poll every 5 s, workers every 3 s: the client is gone by then
 SLOW_REQUEST_S = 10.0  # a request that takes longer to arrive comes from a slow or broken client
 CONNECTION_SWEEP_S = 5.0  # between checks of all connections for idle and slow ones
-CALLER_SOCKET_SHARE = 0.75  # of the socket limit: connections of workers and users
+PUBLIC_SOCKET_SHARE = 0.75  # of the socket limit: connections of workers and users
 # Share of those connections in use above which a worker's connection is closed after each response:
 # workers can reconnect at little cost.
 NEAR_LIMIT_SHARE = 0.85
@@ -18,7 +18,7 @@
 # Of the socket limit: commands sent directly to workers. The rest is for this controller's other
 # requests.
 DIRECT_COMMAND_SOCKET_SHARE = 0.1
-CONNECT_S = 1.0  # a connection attempt across a network partition hangs without an error
+CONNECT_TIMEOUT_S = 1.0  # a connection attempt across a network partition hangs without an error
 POOL_IDLE_S = 20.0  # a pooled connection that has been idle for longer is not reused
 
 # --- request queue: how long a request may wait for admission under overload ---------------------
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -31,7 +31,7 @@
 from peathall.leader.term import Leader
 from peathall.leadership.election import Election
 from peathall.leadership.term import LeaderTerm
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from peathall.peers.client import Peers
 from peathall.peers.redirected_workers import RedirectedWorkers
 from peathall.peers.server import FeatureRoutes, PeerServer
@@ -55,7 +55,7 @@
     def __init__(
         self,
         settings: Settings,
-        operator: Operator,
+        operator: OperatorSettings,
         wall: Callable[[], float] = time.time,
         rng: random.Random | None = None,
     ) -> None:
@@ -123,7 +123,7 @@
         )
         sockets = params.machine_limits.fd_limit
         self.public_listener = HttpServer(
-            self.public_routes.serve, int(sockets * constants.CALLER_SOCKET_SHARE)
+            self.public_routes.serve, int(sockets * constants.PUBLIC_SOCKET_SHARE)
         )
         self.peer_listener = HttpServer(
             self.peer_server.serve, int(sockets * constants.PEER_SOCKET_SHARE)
--- a/peathall/controller/process.py
+++ b/peathall/controller/process.py
@@ -7,10 +7,10 @@
 
 from peathall.config.platform import Settings
 from peathall.controller.controller import Controller
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 
 
-def run_process(settings: Settings, operator: Operator) -> None:
+def run_process(settings: Settings, operator: OperatorSettings) -> None:
     """Run a controller until a signal ends it.
 
     Raises OSError if an address can't be listened on, and KeyboardInterrupt on SIGINT.
--- a/peathall/http/client.py
+++ b/peathall/http/client.py
@@ -143,7 +143,7 @@
             f"{method} {path} HTTP/1.1\r\nHost: {self.addr}\r\n"
             f"Content-Type: {self.content_type}\r\nContent-Length: {len(body)}\r\n\r\n"
         )
-        connection = await self._connect(min(constants.CONNECT_S, timeout))
+        connection = await self._connect(min(constants.CONNECT_TIMEOUT_S, timeout))
         if not self.may_send():
             # The process may have been suspended since the caller checked its lease.
             connection.abort()
--- a/peathall/http/server.py
+++ b/peathall/http/server.py
@@ -79,13 +79,13 @@
             # Our clients do not pipeline; one that does is served in order, within the size of
             # one request.
             self.pipelined.append(data)
-            if sum(map(len, self.pipelined)) > constants.MAX_BODY:
+            if sum(map(len, self.pipelined)) > constants.MAX_BODY_BYTES:
                 self.close()
             return
         if self.phase is ConnectionPhase.IDLE:
             self._enter(ConnectionPhase.READING)
         self.size += len(data)
-        if self.size > constants.MAX_BODY + MAX_HEADERS:
+        if self.size > constants.MAX_BODY_BYTES + MAX_HEADERS:
             self._reject(HTTPStatus.BAD_REQUEST)
             return
         try:
@@ -124,7 +124,7 @@
         self.task = self.server.loop.create_task(self._serve(request, keep_alive))
 
     async def _serve(self, request: Request, keep_alive: bool) -> None:
-        if len(request.body) > constants.MAX_BODY:
+        if len(request.body) > constants.MAX_BODY_BYTES:
             response = Response(HTTPStatus.BAD_REQUEST, close=True)
         else:
             try:
--- a/peathall/leader/context.py
+++ b/peathall/leader/context.py
@@ -10,7 +10,7 @@
 
 from peathall.autoscaling.provider_client import CloudClient
 from peathall.config.platform import Settings
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from peathall.store.client import StoreClient
 from peathall.workers.health import HeartbeatsElsewhere
 
@@ -32,7 +32,7 @@
     """Parts that exist as long as the controller, not only for one term."""
 
     settings: Settings
-    operator: Operator
+    operator: OperatorSettings
     store: StoreClient
     cloud: CloudClient
     leadership: Leadership
--- a/peathall/operator_config/file.py
+++ b/peathall/operator_config/file.py
@@ -26,7 +26,7 @@
 from google.protobuf.message import Message
 
 from peathall.config.platform import SettingsError
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 
 PACKAGE = "peathall"
 Field = descriptor_pb2.FieldDescriptorProto
@@ -108,14 +108,14 @@
     return message
 
 
-def load_operator(path: str) -> Operator:
+def load_operator_settings(path: str) -> OperatorSettings:
     """Read and check the operators' settings file; SettingsError, which names the file, if it
     cannot be read or is not valid."""
     try:
         with open(path, encoding="utf-8") as file:
             message = _parse(file.read())
         raw = json_format.MessageToDict(message, preserving_proto_field_name=True)
-        return msgspec.convert(raw, Operator)
+        return msgspec.convert(raw, OperatorSettings)
     except (OSError, UnicodeDecodeError, text_format.ParseError) as exc:
         raise SettingsError(f"{path}: {exc}".replace("\n", " ")) from None
     except msgspec.ValidationError as exc:
--- a/peathall/operator_config/settings.py
+++ b/peathall/operator_config/settings.py
@@ -10,7 +10,7 @@
 from peathall.duties.settings import DutySettings
 
 
-class Operator(Struct, frozen=True, forbid_unknown_fields=True):
+class OperatorSettings(Struct, frozen=True, forbid_unknown_fields=True):
     """The whole operators' settings file. A controller without one uses the defaults. Unknown
     fields are an error."""
 
--- a/tests/sim/cells_world.py
+++ b/tests/sim/cells_world.py
@@ -9,7 +9,7 @@
 
 from peathall.cells.settings import CellSettings, Neighbour
 from peathall.config.platform import Settings, parse
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from tests.sim.cells_judge import CellsJudge
 from tests.sim.net import Host, VirtualLoop
 from tests.sim.sites import controller_text, controller_text_with_next_limits
@@ -26,14 +26,14 @@
     return f"cell-{cell}"
 
 
-def operator_of(cell: int, count: int, size: int = 3) -> Operator:
+def operator_of(cell: int, count: int, size: int = 3) -> OperatorSettings:
     """Operator settings of a cell: it knows all other cells, and idle machines are kept."""
     neighbours = [
         Neighbour(cell_name(other), [f"10.0.{other}.{i + 1}:8081" for i in range(size)])
         for other in range(count)
         if other != cell
     ]
-    return Operator(
+    return OperatorSettings(
         idle_hold_s=1000.0, cells=CellSettings(cell_name(cell), neighbours, lease_s=LEASE_S)
     )
 
--- a/tests/sim/controllers.py
+++ b/tests/sim/controllers.py
@@ -8,7 +8,7 @@
 
 from peathall.config.platform import Settings
 from peathall.controller.controller import Controller
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from tests.sim.net import Host
 from tests.sim.site_network import SiteNetwork
 
@@ -22,7 +22,7 @@
     def __init__(self, network: SiteNetwork, rng: random.Random, settings: list[Settings]) -> None:
         self.network, self.loop, self.rng = network, network.loop, rng
         self.settings = settings
-        self.operators: dict[int, Operator] = {}  # those of controllers that have a file
+        self.operators: dict[int, OperatorSettings] = {}  # those of controllers that have a file
         self.other_versions: dict[int, ControllerFactory] = {}  # used at the next start
         self.controllers: dict[int, tuple[Host, Controller]] = {}  # as they last started
 
@@ -33,7 +33,7 @@
         offset = self.rng.uniform(-0.5, 0.5)
         wall, rng = lambda: self.loop.now + 1e6 + offset, random.Random(self.rng.random())
         make = self.other_versions.get(index)
-        operator = self.operators.get(index, Operator())
+        operator = self.operators.get(index, OperatorSettings())
         controller = (
             make(wall, rng) if make else Controller(self.settings[index], operator, wall, rng)
         )
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -17,7 +17,7 @@
 from peathall.cells.requests import CellResponse
 from peathall.cells.settings import CellSettings
 from peathall.config.modes import Mode
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from tests.sim import production
 from tests.sim.cells_world import LEASE_S, Cells, play
 from tests.sim.sites import controller_text
@@ -437,9 +437,9 @@
         )
         # One with the section taken out too early does not lead.
         world.controller_hosts.operators = {
-            0: Operator(),
-            1: Operator(cells=retiring),
-            2: Operator(cells=retiring),
+            0: OperatorSettings(),
+            1: OperatorSettings(cells=retiring),
+            2: OperatorSettings(cells=retiring),
         }
         for index in range(3):
             world.crash_controller(index, 0.3)
--- a/tests/sim/test_cells_command.py
+++ b/tests/sim/test_cells_command.py
@@ -16,7 +16,7 @@
 from peathall.config.modes import Mode
 from peathall.http.client import HttpClient
 from peathall.http.message import Request, Response
-from peathall.operator_config.file import load_operator
+from peathall.operator_config.file import load_operator_settings
 from peathall.protocol.codec import struct_to_builtins
 from tests.sim.cells_world import Cells, gang, play
 from tests.sim.net import Host
@@ -26,7 +26,7 @@
 
 
 def test_the_deployed_file_switches_cells_on() -> None:
-    operator = load_operator(str(DEPLOYED))
+    operator = load_operator_settings(str(DEPLOYED))
     assert operator.cell_mode is Mode.ON and operator.duty_mode is Mode.OFF
     assert operator.cells is not None and len(operator.cells.neighbour[0].controller) == 3
 
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -15,7 +15,7 @@
 from peathall.config.platform import parse
 from peathall.duties.model import ActionRequest, ActionResult, Deletion, Duty, DutyPhase, Outcome
 from peathall.duties.settings import DutySettings
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from peathall.store.transaction import Transaction
 from peathall.store.writer import Writer
 from tests.sim import production
@@ -38,7 +38,7 @@
 from tests.sim.test_days import day as whole_day
 from tests.sim.world import World
 
-ON = Operator(duties=DutySettings())
+ON = OperatorSettings(duties=DutySettings())
 
 
 @pytest.fixture(autouse=True)
@@ -375,7 +375,7 @@
 def test_without_a_holder_work_waits_and_the_status_names_the_reason() -> None:
     async def day(world: World, history: DutyHistory) -> None:
         world.controller_hosts.operators = {
-            i: Operator(duties=DutySettings(hold=[Duty.SCALE_IN])) for i in range(3)
+            i: OperatorSettings(duties=DutySettings(hold=[Duty.SCALE_IN])) for i in range(3)
         }
         await world.begin()
         done = submit(world, 1)
@@ -433,7 +433,7 @@
         await world.begin()
         await asyncio.sleep(8.0)
         jobs = [submit(world, number) for number in range(1, 4)]
-        for operator in (ON, Operator(duties=DutySettings(mode=Mode.RETIRING)), None):
+        for operator in (ON, OperatorSettings(duties=DutySettings(mode=Mode.RETIRING)), None):
             for index in range(3):
                 if operator is None:
                     world.controller_hosts.operators.pop(index)
@@ -499,7 +499,7 @@
 
     async def day(world: World, history: DutyHistory) -> None:
         rng = random.Random(620)
-        busy = Operator(idle_hold_s=1.0, duties=DutySettings())  # machines come and go
+        busy = OperatorSettings(idle_hold_s=1.0, duties=DutySettings())  # machines come and go
         world.controller_hosts.operators = dict.fromkeys(range(5), busy)
         await settled(world)
         jobs = []
--- a/tests/sim/test_duties_command.py
+++ b/tests/sim/test_duties_command.py
@@ -20,7 +20,7 @@
 from peathall.duties.status import describe
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
-from peathall.operator_config.file import load_operator
+from peathall.operator_config.file import load_operator_settings
 from peathall.protocol.state_service import KeyValue
 from tests.unit.test_settings import TEXT
 
@@ -28,7 +28,7 @@
 
 
 def test_the_deployed_file_switches_duties_on() -> None:
-    operator = load_operator(str(DEPLOYED))
+    operator = load_operator_settings(str(DEPLOYED))
     assert operator.duty_mode is Mode.ON
     assert operator.duties is not None and operator.duties.held() == list(Duty)
 
@@ -51,7 +51,7 @@
 ) -> None:
     operator = check_refuses(text, named, tmp_path, capsys)
     with pytest.raises(SettingsError):
-        load_operator(str(operator))
+        load_operator_settings(str(operator))
 
 
 def check_refuses(text: str, named: str, folder: Path, capsys: pytest.CaptureFixture[str]) -> Path:
--- a/tests/sim/test_http.py
+++ b/tests/sim/test_http.py
@@ -15,7 +15,7 @@
 from peathall.http.client import HttpClient
 from peathall.http.message import Request, Response
 from peathall.http.server import HttpServer
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from peathall.protocol.heartbeats import Heartbeat
 from tests.sim.net import HOST, Host, VirtualLoop
 from tests.sim.test_days import controller_settings, virtual
@@ -104,7 +104,7 @@
         limits = msgspec.structs.replace(settings.params.machine_limits, fd_limit=1200)
         params = msgspec.structs.replace(settings.params, machine_limits=limits)
         controller = Controller(
-            msgspec.structs.replace(settings, params=params), Operator(), lambda: 0.0
+            msgspec.structs.replace(settings, params=params), OperatorSettings(), lambda: 0.0
         )
         controller.assemble()
         leader: Any = Leading()
@@ -134,7 +134,7 @@
 
 def test_paths_and_methods() -> None:
     async def play(loop: VirtualLoop) -> None:
-        controller = Controller(controller_settings(0), Operator(), lambda: 0.0)
+        controller = Controller(controller_settings(0), OperatorSettings(), lambda: 0.0)
         controller.assemble()
         wanted: list[tuple[str, str, bytes, int]] = [
             ("GET", "/healthz", b"", 200),
--- a/tests/unit/test_leader.py
+++ b/tests/unit/test_leader.py
@@ -27,7 +27,7 @@
 from peathall.leadership.election import Election, ElectionPhase
 from peathall.leadership.lease import HeldLease
 from peathall.leadership.term import LeaderTerm
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 from peathall.store.errors import StoreError
 from peathall.store.transaction import GuardKey
 from tests.unit.test_protocol_format import SETTINGS, cells_operator
@@ -76,13 +76,13 @@
 
 
 def make_leader(
-    store: Any, operator: Operator | None = None, duties: Duties | None = None
+    store: Any, operator: OperatorSettings | None = None, duties: Duties | None = None
 ) -> tuple[Leader, HeldLeadership]:
     cloud: Any = SilentCloud()
     leadership = HeldLeadership()
     context = ControllerContext(
         settings=parse(SETTINGS),
-        operator=operator or Operator(),
+        operator=operator or OperatorSettings(),
         store=store,
         cloud=cloud,
         leadership=leadership,
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -38,8 +38,8 @@
 from peathall.jobs import records
 from peathall.jobs.responses import JobResponse
 from peathall.leadership.records import LeaderRecord, TermRecord
-from peathall.operator_config.file import load_operator
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.file import load_operator_settings
+from peathall.operator_config.settings import OperatorSettings
 from peathall.protocol.cloud import decode_machine_type, encode_machine_type
 from peathall.protocol.heartbeats import (
     Command,
@@ -146,8 +146,8 @@
     }
 
 
-def new_node(leader: CannedLeader | None = None, operator: Operator | None = None) -> Any:
-    node: Any = Controller(parse(SETTINGS), operator or Operator(), lambda: 5.0)
+def new_node(leader: CannedLeader | None = None, operator: OperatorSettings | None = None) -> Any:
+    node: Any = Controller(parse(SETTINGS), operator or OperatorSettings(), lambda: 5.0)
     node.assemble()
     node.leader = leader
     return node
@@ -231,9 +231,9 @@
     )  # fmt: skip
 
 
-def cells_operator() -> Operator:
+def cells_operator() -> OperatorSettings:
     own = {"name": "north", "neighbour": [{"name": "south", "controller": ["10.0.1.1:8081"]}]}
-    return msgspec.convert({"cells": own}, Operator)
+    return msgspec.convert({"cells": own}, OperatorSettings)
 
 
 def check_response(
@@ -399,7 +399,7 @@
 def test_operators_file_in_both_forms(text: str, tmp_path: Path) -> None:
     file = tmp_path / "operator.textproto"
     file.write_text(text)
-    assert msgspec.to_builtins(load_operator(str(file))) == OPERATOR_READ
+    assert msgspec.to_builtins(load_operator_settings(str(file))) == OPERATOR_READ
 
 
 # --- users -------------------------------------------------------------------------------------
@@ -1229,7 +1229,7 @@
 )
 def test_duties_are_served(path: str, message: Any, status: str, expected: Any) -> None:
     async def play() -> None:
-        node = new_node(operator=Operator(duties=DutySettings()))
+        node = new_node(operator=OperatorSettings(duties=DutySettings()))
         response = await from_controller(node, "POST", path, message)
         check_response(response, status, expected, JSON)
 
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -6,7 +6,7 @@
 
 from peathall import cli
 from peathall.config.platform import SettingsError, parse
-from peathall.operator_config.file import load_operator
+from peathall.operator_config.file import load_operator_settings
 
 TEXT = """
 member = "hall-0"
@@ -89,13 +89,13 @@
 def test_operator_settings_are_protobuf_text(tmp_path: Path) -> None:
     path = tmp_path / "operator.txtpb"
     path.write_text('fields { key: "idle_hold_s" value { number_value: 30 } }\n')
-    assert load_operator(str(path)).idle_hold_s == 30.0
+    assert load_operator_settings(str(path)).idle_hold_s == 30.0
     path.write_text('fields { key: "idle_hold_s" value { number_value: -1 } }\n')
     with pytest.raises(SettingsError):
-        load_operator(str(path))
+        load_operator_settings(str(path))
     path.write_text("not { this")
     with pytest.raises(SettingsError):
-        load_operator(str(path))
+        load_operator_settings(str(path))
 
 
 def test_check_accepts_good_settings(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
