--- a/peathall/cli.py
+++ b/peathall/cli.py
@@ -1,4 +1,4 @@
-"""Command line of a controller, and of the commands that ask controllers for their status."""
+"""Command line: starts a controller, checks its settings, or runs a status command."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from peathall import __version__
 from peathall.config.platform import Settings, SettingsError, load
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.settings import OperatorSettings
 
 if TYPE_CHECKING:
     from peathall.status_command import StatusCommand
@@ -35,10 +35,10 @@
 
 
 def main(argv: list[str] | None = None) -> int:
-    """Run a controller, check its settings, or ask controllers for their status.
+    """Run a controller, check its settings, or run a status command.
 
-    The exit code: 0 on success, 1 if an address can't be listened on or no controller answers, 2
-    for wrong settings or arguments.
+    The exit code: 0 on success, 1 if an address can't be listened on or no controller responds, 2
+    for invalid settings or arguments.
     """
     arguments = sys.argv[1:] if argv is None else argv
     command = _status_command(arguments[0]) if arguments else None
@@ -55,18 +55,19 @@
         if level not in LOG_LEVELS:
             raise SettingsError(f"LOG_LEVEL: {level!r} is none of {', '.join(LOG_LEVELS)}")
         settings = load(args.config)
-        operator = _load_operator(args.operator_config, settings)
+        operator_settings = _load_operator_settings(args.operator_config, settings)
     except SettingsError as exc:
         print(f"peathall: {exc}", file=sys.stderr)
         return 2
     if args.check:
         print(f"settings of {settings.name} are in order")
         return 0
-    return _run(settings, operator)
+    return _run(settings, operator_settings)
 
 
 def _status_command(name: str) -> StatusCommand[Any] | None:
-    """The command of that name, if it is one. Imported here only: a controller needs none."""
+    """The status command of that name, or None. The imports are here because a controller needs no
+    status command, and an import costs start-up time."""
     if name == "duties":
         from peathall.duties.command import COMMAND as DUTIES_COMMAND
 
@@ -78,30 +79,31 @@
     return None
 
 
-def _load_operator(path: str | None, settings: Settings) -> Operator:
-    """The operators' settings, checked against the platform's; SettingsError if they are wrong."""
+def _load_operator_settings(path: str | None, settings: Settings) -> OperatorSettings:
+    """The operators' settings, checked against the platform's; the defaults without a file.
+    SettingsError if they are invalid."""
     if not path:
-        return Operator()
-    # Imported here only: most controllers have no such file.
-    from peathall.operator_config.file import load_operator
+        return OperatorSettings()
+    # Imported here because most controllers have no such file, and protobuf is slow to import.
+    from peathall.operator_config.file import load_operator_settings
 
-    operator = load_operator(path)
-    if operator.cells is not None:
-        problem = operator.cells.problem(settings.params.workers.lease_expiry_s)
+    operator_settings = load_operator_settings(path)
+    if operator_settings.cells is not None:
+        problem = operator_settings.cells.problem(settings.params.workers.lease_expiry_s)
         if problem:
             raise SettingsError(f"{path}: {problem}")
-    return operator
+    return operator_settings
 
 
-def _run(settings: Settings, operator: Operator) -> int:
-    # Imported here only: a check of the settings needs neither a controller nor an event loop.
+def _run(settings: Settings, operator_settings: OperatorSettings) -> int:
+    # Imported here because --check needs neither a controller nor an event loop.
     from peathall.controller.process import run_process
 
     try:
-        run_process(settings, operator)
+        run_process(settings, operator_settings)
     except OSError as exc:
         print(f"peathall: {exc}", file=sys.stderr)
         return 1
     except KeyboardInterrupt:
-        pass  # ended by the operator at a terminal
+        pass  # stopped by Ctrl-C at a terminal
     return 0
--- a/tests/unit/test_protocol_format.py
+++ b/tests/unit/test_protocol_format.py
@@ -39,8 +39,8 @@
 from peathall.jobs import records
 from peathall.jobs.responses import JobResponse
 from peathall.leadership.records import LeaderRecord, TermRecord
-from peathall.operator_config.file import load_operator
-from peathall.operator_config.settings import Operator
+from peathall.operator_config.file import load_operator_settings
+from peathall.operator_config.settings import OperatorSettings
 from peathall.protocol.cloud import decode_machine_type, encode_machine_type
 from peathall.protocol.heartbeats import (
     Command,
@@ -154,8 +154,10 @@
     }
 
 
-def new_controller(leader: FakeLeader | None = None, operator: Operator | None = None) -> Any:
-    controller: Any = Controller(parse(SETTINGS), operator or Operator(), lambda: 5.0)
+def new_controller(
+    leader: FakeLeader | None = None, operator: OperatorSettings | None = None
+) -> Any:
+    controller: Any = Controller(parse(SETTINGS), operator or OperatorSettings(), lambda: 5.0)
     controller.assemble()
     controller.leader = leader
     return controller
@@ -239,9 +241,9 @@
     )  # fmt: skip
 
 
-def operator_with_cells() -> Operator:
+def operator_with_cells() -> OperatorSettings:
     own = {"name": "north", "neighbour": [{"name": "south", "controller": ["10.0.1.1:8081"]}]}
-    return msgspec.convert({"cells": own}, Operator)
+    return msgspec.convert({"cells": own}, OperatorSettings)
 
 
 def check_response(
@@ -412,7 +414,7 @@
 def test_operator_settings_are_read_in_both_forms(text: str, tmp_path: Path) -> None:
     file = tmp_path / "operator.textproto"
     file.write_text(text)
-    assert msgspec.to_builtins(load_operator(str(file))) == DECODED_OPERATOR
+    assert msgspec.to_builtins(load_operator_settings(str(file))) == DECODED_OPERATOR
 
 
 # --- users -------------------------------------------------------------------------------------
@@ -1304,7 +1306,7 @@
     path: str, message: Any, status: str, expected: Any
 ) -> None:
     async def scenario() -> None:
-        controller = new_controller(operator=Operator(duties=DutySettings()))
+        controller = new_controller(operator=OperatorSettings(duties=DutySettings()))
         response = await peer_request(controller, "POST", path, message)
         check_response(response, status, expected, JSON)
 
