--- a/bench/cells_real.py
+++ b/bench/cells_real.py
@@ -124,7 +124,7 @@
         if line["kind"] == "start":
             runs = self.runs.setdefault(line["task"], [])
             if runs and runs[-1][1] > line["at"] + 0.001:
-                self.faults.append(f"{line['task']} starts in {cell} beside {runs[-1]}")
+                self.faults.append(f"{line['task']} starts in cell {cell} during {runs[-1]}")
             runs.append((line["at"], line["at"] + TASK_S, cell))
         elif line["kind"] == "stop" and self.runs.get(line["task"]):
             start, _, where = self.runs[line["task"]][-1]
@@ -160,7 +160,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--bursts", type=int, default=6)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--keep", action="store_true", help="the logs, to read them")
+    parser.add_argument("--keep", action="store_true", help="keep the logs")
     args = parser.parse_args()
     folder = Path(tempfile.mkdtemp(prefix="cells-"))
     sites = []
@@ -189,8 +189,9 @@
     print(
         f"seed {args.seed}: {told['kills']} kills, {told['freezes']} freezes in"
         f" {time.monotonic() - began:.0f} s; {told['done']} of {told['jobs']} jobs done;"
-        f" {len(judge.handoffs)} handoffs granted; {judge.cell_changes} of {judge.changes} changes"
-        f" are of cells; completed twice {len(twice)} {twice[:3]}; left over {len(judge.open)};"
+        f" {len(judge.handoffs)} handoffs granted; {judge.cell_changes} of {judge.changes} stored"
+        f" changes are of handoffs; tasks completed twice {len(twice)} {twice[:3]}; handoff records"
+        f" left {len(judge.open)};"
         f" faults {len(judge.faults)} {judge.faults[:3]}"
     )
     if args.keep:
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -90,11 +90,11 @@
         _, answer = workers.handle_heartbeat(report, now)
         codec.cbor_bytes(answer)
     each = (time.process_time() - began) / rounds
-    kind = "aged jobs" if aged else "jobs"
+    kind = "starving jobs" if aged else "jobs"
     print(
         f"{machines:4d} machines, {jobs:4d} {kind}: round with empty fleet {first * 1e3:6.1f} ms "
         f"({sum(s.count for s in plan.assignments)} starts), with full fleet {full * 1e3:6.1f} ms; "
-        f"check-in with {len(busiest.attempts)} tasks {each * 1e3:5.2f} ms"
+        f"heartbeat with {len(busiest.attempts)} tasks {each * 1e3:5.2f} ms"
     )
 
 
--- a/bench/freezes.py
+++ b/bench/freezes.py
@@ -153,7 +153,7 @@
         except NoAnswerError:
             pass
         await asyncio.sleep(0.2)
-    raise AssertionError(f"{job['id']} was never accepted")
+    raise AssertionError(f"{job['id']} was not accepted in 600 attempts")
 
 
 async def standing(site: Site, job_id: str) -> str:
@@ -233,7 +233,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--freezes", type=int, default=1000)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--keep", action="store_true", help="the logs, to read them")
+    parser.add_argument("--keep", action="store_true", help="keep the logs")
     args = parser.parse_args()
     folder = Path(tempfile.mkdtemp(prefix="freezes-"))
     site = Site(folder)
@@ -256,10 +256,10 @@
         f"seed {args.seed}: {freezes} freezes, {kills} kills in {seconds:.0f} s",
         f"{done} of {jobs} jobs done",
         f"{judge.actions} intents, {judge.claims} claims",
-        f"vacant until claimed p50 {times[0]:.2f} p90 {times[1]:.2f} p99 {times[2]:.2f} longest "
-        f"{times[3]:.2f} s",
-        f"{judge.duty_changes} of {judge.changes} changes are of duties",
-        f"unfinished {len(judge.open)}, faults {len(judge.faults)} {judge.faults[:3]}",
+        f"duties without a holder for p50 {times[0]:.2f} p90 {times[1]:.2f} p99 {times[2]:.2f} "
+        f"longest {times[3]:.2f} s",
+        f"{judge.duty_changes} of {judge.changes} stored changes are of duties",
+        f"unfinished actions {len(judge.open)}, faults {len(judge.faults)} {judge.faults[:3]}",
     ]
     print("; ".join(told))
     if args.keep:
--- a/bench/larger.py
+++ b/bench/larger.py
@@ -71,13 +71,13 @@
         kept = loop.run_until_complete(day())
     figures = player.finish()
     print(
-        f"{machines} machines, share {share or 1.0:g}: rented and filled after "
+        f"{machines} machines, share {share or 1.0:g}: provisioned and filled after "
         f"{figures.provisioned_s:.0f} s, steady {figures.steady_share:.3f} of a core, "
-        f"kept {kept / 2**20:.1f} MB, all heard {figures.failover_s:.1f} s after the leader's end, "
-        f"{figures.deleted_alive} alive deleted, lost fifth replaced after "
-        f"{figures.replaced_s:.0f} s, longest check-in {figures.heartbeat_wait_s:.2f} s, answers "
-        f"{figures.heartbeat_responses}, cloud refused {figures.cloud_refused}, "
-        f"broken {figures.broken[:3]} "
+        f"leader's state {kept / 2**20:.1f} MB, machines confirmed {figures.failover_s:.1f} s "
+        f"after the leader's crash, {figures.deleted_alive} running machines deleted, lost fifth "
+        f"replaced after {figures.replaced_s:.0f} s, longest wait for a heartbeat response "
+        f"{figures.heartbeat_wait_s:.2f} s, heartbeat responses {figures.heartbeat_responses}, "
+        f"cloud requests refused {figures.cloud_refused}, broken rules {figures.broken[:3]} "
         f"({time.monotonic() - began:.0f} s of this machine)",
         flush=True,
     )
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -188,7 +188,7 @@
         if final and status != final:
             self.faults.append(f"{job_id} is {status} after {final}")
         if status == "aborted" and not job.cancelled:
-            self.faults.append(f"{job_id} is aborted, and nobody cancelled it")
+            self.faults.append(f"{job_id} is aborted but was not cancelled")
         if status in FINAL:
             job.final = job.final or status
 
@@ -230,7 +230,7 @@
         while any(not job.final for job in self.jobs):
             if time.monotonic() - began > SETTLE_S:
                 left = [job.body["id"] for job in self.jobs if not job.final]
-                self.faults.append(f"{name}: not ended after {SETTLE_S:g} s: {left}")
+                self.faults.append(f"{name}: jobs not ended after {SETTLE_S:g} s: {left}")
                 break
             await self.query_all([job for job in self.jobs if not job.final])
             await self.note_holders()
@@ -258,7 +258,7 @@
                         break
                     await asyncio.sleep(0.5)
                 else:
-                    self.faults.append(f"{job.body['id']} is not answered by controller {index}")
+                    self.faults.append(f"no answer about {job.body['id']} from controller {index}")
 
     async def note_holders(self) -> None:
         """Count the versions of duty holders together with that of the leader."""
@@ -350,7 +350,7 @@
                 key = change.get("write", change.get("drop"))
                 kinds.update(kind for kind in STORED if key.startswith(kind))
     faults += judge.faults
-    faults += [f"left over: {entry}" for entry in judge.open]
+    faults += [f"handoff record left: {entry}" for entry in judge.open]
     faults += [f"nothing stored under {kind}" for kind in STORED if not kinds[kind]]
     for cell, site in enumerate(sites):
         for log in sorted(site.folder.glob("*.stderr")):
@@ -362,9 +362,9 @@
 
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--commit", required=True, help="the earlier version")
+    parser.add_argument("--commit", required=True, help="commit of the earlier version")
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--keep", action="store_true", help="keep the logs, to read them")
+    parser.add_argument("--keep", action="store_true", help="keep the logs")
     args = parser.parse_args()
     folder = Path(tempfile.mkdtemp(prefix="mixed-"))
     sources = {EARLIER: unpack(args.commit, folder / "earlier"), CURRENT: ROOT}
@@ -387,8 +387,9 @@
     aborted = sum(job.final == "aborted" for job in run.jobs)
     print(
         f"seed {args.seed}, {args.commit}, {time.monotonic() - began:.0f} s: {done} jobs done,"
-        f" {aborted} cancelled, of {len(run.jobs)}; changes by key {dict(kinds)};"
-        f" holder beside leader {dict(run.holders)}; faults {len(faults)}"
+        f" {aborted} cancelled, of {len(run.jobs)}; stored changes by key"
+        f" {dict(kinds)}; duty holders by version of holder and leader {dict(run.holders)};"
+        f" faults {len(faults)}"
     )
     for fault in faults[:20]:
         print(f"fault: {fault}")
--- a/bench/spill.py
+++ b/bench/spill.py
@@ -111,8 +111,9 @@
 
 
 def compare(seeds: int, seconds: float) -> None:
-    print("| | jobs | began within 15 s | wait p50, p90, p99 (s) | handoffs |"
-          " useful of rented time | changes | controllers' processor time |")  # fmt: skip
+    print("| | jobs | started within 15 s | wait p50, p90, p99 (s) | handoffs |"
+          " useful share of machine time | stored changes |"
+          " controllers' processor time |")  # fmt: skip
     for name, spilling in (("without", False), ("with", True)):
         outcome, began = Outcome(), time.monotonic()
         for seed in range(1, seeds + 1):
@@ -146,9 +147,9 @@
             histogram.record_value(int(1000 * took))
     workers = 12.0 * 1.001 + 1.0  # lapse_s of the tests' sites
     bound = LEASE_S * 1.001 + workers * 1.001
-    print(f"taken back after {histogram.get_min_value() / 1000:.1f} to"
+    print(f"job taken back after {histogram.get_min_value() / 1000:.1f} to"
           f" {histogram.get_max_value() / 1000:.1f} s ({times} times); bound {bound:.1f} s after"
-          " the last heartbeat, looked at each second")  # fmt: skip
+          " the last heartbeat, checked each second")  # fmt: skip
 
 
 def main() -> None:
