--- a/bench/cost.py
+++ b/bench/cost.py
@@ -39,8 +39,8 @@
 
 
 async def measure(machines: int, jobs: int, tasks: int, starving: bool = False) -> None:
-    """Prints a line of times. With `aged`, all jobs count as starving, so each job that does not
-    fit searches for tasks to preempt."""
+    """Prints a line of times. With `starving`, all jobs count as starving, so each job that does
+    not fit searches for tasks to preempt."""
     loop = asyncio.get_running_loop()
     now = loop.time()
     idle_since = now - 2 * constants.STARVING_S if starving else now
--- a/bench/spill.py
+++ b/bench/spill.py
@@ -29,7 +29,7 @@
 
 CELLS = 3
 WEIGHTS = [0.6, 0.25, 0.15]  # of bursts
-BURST_MEAN = 4.0  # gangs
+BURST_MEAN = 4.0  # gangs; mean of a geometric distribution
 IDLE_HOLD_S = 200.0  # after which an idle machine is returned
 BURST_GAP_S = 25.0  # mean of an exponential distribution
 RUN_S = (20.0, 60.0)  # range of the gangs' run times
--- a/bench/stand_in.py
+++ b/bench/stand_in.py
@@ -83,8 +83,8 @@
         clients = [HttpClient(addr) for addr in self.cloud.controllers]
         index = tick = token = 0
         epoch, last_response = 1, time.monotonic()
-        # Checks for its deletion since cancelling the task is not reliable: asyncio.wait_for of
-        # Python 3.11 loses a cancellation that arrives together with the result.
+        # The loop checks whether the machine is deleted, since a cancelled worker may go on:
+        # asyncio.wait_for of Python 3.11 loses a cancellation that arrives with the result.
         while self.name in self.cloud.machines:
             tick += 1
             now = time.monotonic()
