--- a/tests/sim/cells_judge.py
+++ b/tests/sim/cells_judge.py
@@ -75,7 +75,7 @@
         """An attempt has come to a machine of any cell."""
         job = task.name.partition("/")[0]
         cell = task.worker.network.cell
-        self.on_machines = {t: None for t in self.on_machines if t.counted}
+        self.on_machines = {t: None for t in self.on_machines if t.on_machine}
         self.on_machines[task] = None
         attempts = [t for t in self.on_machines if t.name.partition("/")[0] == job]
         if {t.worker.network.cell for t in attempts} != {cell}:
--- a/tests/sim/day_record.py
+++ b/tests/sim/day_record.py
@@ -11,7 +11,7 @@
     def __init__(self, loop: VirtualLoop) -> None:
         self.loop = loop
         self.broken: list[str] = []  # violations of rules: time, rule and what happened
-        self.troubled_until = 0.0  # the effects of faults excuse delays before this time
+        self.grace_until = 0.0  # delays before this time are effects of faults and no violations
         self.accepted: set[str] = set()  # jobs whose submission was confirmed
         self.submitted: dict[str, float] = {}  # job -> when its submission was confirmed
         self.begun: dict[str, float] = {}  # job -> when its first task was on a machine
--- a/tests/sim/fleet_day.py
+++ b/tests/sim/fleet_day.py
@@ -71,7 +71,7 @@
     }  # fmt: skip
 
 
-class FleetPlayer:
+class FleetDayRunner:
     """Runs the scenario step by step and measures it."""
 
     def __init__(
--- a/tests/sim/production.py
+++ b/tests/sim/production.py
@@ -20,7 +20,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-NAME = "peathall_production"
+PACKAGE_PREFIX = "peathall_production"
 
 
 @cache
@@ -32,7 +32,7 @@
     )
     if archive.returncode:
         pytest.fail(f"the history has no commit {commit}, the version in production: fetch it all")
-    name = f"{NAME}_{commit[:12]}"
+    name = f"{PACKAGE_PREFIX}_{commit[:12]}"
     if change is not None:
         name += f"_{crc32(change[1].encode()):x}"
     folder = Path(tempfile.mkdtemp(prefix="peathall-"))
@@ -60,7 +60,7 @@
     return tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
 
 
-def recorded() -> str:
+def deployed_commit() -> str:
     """The commit that the deploy file names as the version in production."""
     commit = deploy().get("production")
     if not commit:
@@ -68,9 +68,11 @@
     return str(commit)
 
 
-def node(commit: str, text: str, wall: Any, rng: Any, change: tuple[str, str] | None = None) -> Any:
+def make_controller(
+    commit: str, text: str, wall: Any, rng: Any, change: tuple[str, str] | None = None
+) -> Any:
     """A controller of that commit's version, with settings `text`; that version calls it a node."""
     name = unpack(commit, change)
     settings = importlib.import_module(f"{name}.settings")
-    made = importlib.import_module(f"{name}.node")
-    return made.Node(settings.parse(text), settings.Operator(), wall, rng)
+    node_module = importlib.import_module(f"{name}.node")
+    return node_module.Node(settings.parse(text), settings.Operator(), wall, rng)
--- a/tests/sim/task_rules.py
+++ b/tests/sim/task_rules.py
@@ -45,7 +45,7 @@
         ):
             self.record.report_violation("ran_cancelled", task.name)
         self.registry.add(task)
-        task.counted = True
+        task.on_machine = True
         self.record.begun.setdefault(job_id, self.loop.now)
         usage = self.usage_of(job["desk"])
         usage[0] += job["vcpus"]
@@ -55,8 +55,8 @@
 
     def removed(self, task: Task) -> None:
         """The attempt has ended; releases its usage if it was on its machine."""
-        if task.counted:
-            task.counted = False
+        if task.on_machine:
+            task.on_machine = False
             self.registry.remove(task)
             usage = self.usage_of(task.job["desk"])
             usage[0] -= task.job["vcpus"]
@@ -103,7 +103,7 @@
                 and len(unplaced) == len(missing)
                 and (job["shape"] == "sweep" or job["parcels"] == 1)
                 and not job.get("mistaken")
-                and self.loop.now > self.record.troubled_until
+                and self.loop.now > self.record.grace_until
                 and any(has_capacity(worker, job) for worker in workers)
                 and self.under_limit(job)
             )
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -107,7 +107,7 @@
 def test_the_store_of_one_cell_has_an_outage(step: str, cell: int, seconds: float) -> None:
     async def day(cells: Cells) -> None:
         world = cells.worlds[cell]
-        world.troubled_until = cells.loop.now + 200.0
+        world.grace_until = cells.loop.now + 200.0
         await handoff_with(cells, step, lambda: world.state.outage(seconds))
 
     play(730, day)
@@ -138,7 +138,7 @@
         world = cells.worlds[cell]
 
         def crash() -> None:
-            world.troubled_until = cells.loop.now + 120.0
+            world.grace_until = cells.loop.now + 120.0
             for index in range(3):
                 world.crash_controller(index, back_s)
 
@@ -179,7 +179,7 @@
         await full_beside_free(cells, 2)
         for world in cells.worlds:
             world.state.late_share = 0.2
-            world.troubled_until = cells.loop.now + 120.0
+            world.grace_until = cells.loop.now + 120.0
         users = [cells.submit(HOME, number, run_s=6.0) for number in range(1, 5)]
         await asyncio.sleep(40.0)
         for world in cells.worlds:
@@ -330,7 +330,7 @@
         await cells.until(lambda: cells.judge.handoffs >= 1)
         await asyncio.sleep(15.0)
         here = [t for t in cells.judge.on_machines if t.worker.network.cell == BORROWER]
-        assert sum(t.job["cards"] for t in here if t.counted and t.job["desk"] == "red") <= 8.0
+        assert sum(t.job["cards"] for t in here if t.on_machine and t.job["desk"] == "red") <= 8.0
         await asyncio.wait_for(asyncio.gather(*users), 240.0)
 
     play(780, day)
@@ -446,9 +446,9 @@
         await user
         await cells.until(lambda: "cells" not in state.data["term"][0], 30.0)
         assert world.leader() in (1, 2)
-        commit, text = production.recorded(), controller_text(0)
+        commit, text = production.deployed_commit(), controller_text(0)
         world.controller_hosts.other_versions = {
-            0: lambda wall, rng: production.node(commit, text, wall, rng)
+            0: lambda wall, rng: production.make_controller(commit, text, wall, rng)
         }
         for index in range(3):
             world.crash_controller(index, 0.2 if index == 0 else 60.0)
@@ -531,7 +531,7 @@
     cell = rng.randrange(len(cells.worlds))
     world = cells.worlds[cell]
     for each in cells.worlds:
-        each.troubled_until = max(each.troubled_until, cells.loop.now + 60.0)
+        each.grace_until = max(each.grace_until, cells.loop.now + 60.0)
     if kind == "crash":
         cells.crash_leader(cell, rng.choice([0.2, 4.0]))
     elif kind == "vanish":
--- a/tests/sim/test_combined_failures.py
+++ b/tests/sim/test_combined_failures.py
@@ -43,7 +43,7 @@
     # --- troubles -------------------------------------------------------------
     def trouble(self, seconds: float) -> None:
         world = self.world
-        world.troubled_until = max(world.troubled_until, self.loop.now + seconds + 30.0)
+        world.grace_until = max(world.grace_until, self.loop.now + seconds + 30.0)
 
     def refuse_leader(self, seconds: float) -> None:
         self.trouble(seconds)
@@ -494,7 +494,7 @@
     await asyncio.sleep(14.0)
     await failures(injector)
     waiting = await arriving
-    deadline = max(world.loop.now, world.troubled_until) + 400.0
+    deadline = max(world.loop.now, world.grace_until) + 400.0
     while world.loop.now < deadline and not all(task.done() for task in waiting):
         await asyncio.sleep(1.0)
     watching.cancel()
--- a/tests/sim/test_days.py
+++ b/tests/sim/test_days.py
@@ -80,7 +80,7 @@
         kind = rng.choice(kinds)
         await asyncio.sleep(rng.uniform(1, 9))
         leader = world.leader()
-        world.troubled_until = max(world.troubled_until, loop.now + 40.0)
+        world.grace_until = max(world.grace_until, loop.now + 40.0)
         if kind == "crash_leader" and leader is not None:
             world.crash_controller(leader, rng.choice([0.2, 3.0]))
         elif kind == "crash_all":
@@ -388,7 +388,7 @@
                 await asyncio.sleep(0.05)
                 if number == 80:
                     world.crash_controller(world.leader() or 0, 0.3)
-                    world.troubled_until = loop.now + 10
+                    world.grace_until = loop.now + 10
             while not all(task.done() for task in users_):
                 assert loop.now < 300
                 await asyncio.sleep(1.0)
@@ -420,7 +420,7 @@
             leader = world.leader()
             assert leader is not None
             world.freeze_controller(leader, 35.0)
-            world.troubled_until = loop.now + 35.0
+            world.grace_until = loop.now + 35.0
             answers: dict[str, list[float]] = {job_id: [] for job_id in jobs}
             before = world.state.requests
 
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -514,7 +514,7 @@
             if number % 15 == 0:
                 jobs.append(submit(world, 1000 + number, parcels=2))
             await asyncio.sleep(rng.uniform(0.0, 0.6))
-        world.troubled_until = world.loop.now
+        world.grace_until = world.loop.now
         await asyncio.gather(*jobs)
         assert history.token("renting") + history.token("returning") > 20
         assert history.actions > 20
@@ -588,8 +588,8 @@
     with virtual(630) as loop:
         world = new_world(loop, 630)
         history = DutyHistory(world)
-        commit = production.recorded()
-        world.controller_hosts.other_versions[0] = lambda wall, rng: production.node(
+        commit = production.deployed_commit()
+        world.controller_hosts.other_versions[0] = lambda wall, rng: production.make_controller(
             commit, controller_text(0), wall, rng
         )
 
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -15,7 +15,7 @@
 from peathall.protocol.state_service import Put
 from peathall.store.writer import Writer
 from peathall.workers.image_cache import ImageCacheRecords
-from tests.sim.fleet_day import FleetPlayer
+from tests.sim.fleet_day import FleetDayRunner
 from tests.sim.test_days import virtual
 from tests.unit.test_store import lead
 
@@ -26,7 +26,7 @@
     """More machines than a page of the list, a deletion, a rental or the sockets hold."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(21) as loop:
-        player = FleetPlayer(loop, constants.MACHINE_LIST_PAGE_SIZE + 100)
+        player = FleetDayRunner(loop, constants.MACHINE_LIST_PAGE_SIZE + 100)
 
         async def day() -> None:
             await player.provision(60.0)
--- a/tests/sim/test_limits_fall.py
+++ b/tests/sim/test_limits_fall.py
@@ -155,7 +155,7 @@
                 await asyncio.sleep(3.0)
                 fell.append(loop.now)
                 lower(world, fall, write_rps)
-            deadline = max(loop.now, world.troubled_until) + 300.0
+            deadline = max(loop.now, world.grace_until) + 300.0
             while loop.now < deadline and not all(task.done() for task in waiting):
                 await asyncio.sleep(1.0)
             watching.cancel()
--- a/tests/sim/test_upgrade.py
+++ b/tests/sim/test_upgrade.py
@@ -31,10 +31,10 @@
     texts = [controller_text_with_next_limits(i, size) for i in range(size)]
     world = World(loop, seed, [parse(text) for text in texts])
     world.state.rate_limits = (200.0, 60.0)
-    before = commit or production.recorded()
+    before = commit or production.deployed_commit()
     for i in range(size):
-        world.controller_hosts.other_versions[i] = lambda wall, rng, i=i: production.node(
-            before, texts[i], wall, rng, change
+        world.controller_hosts.other_versions[i] = lambda wall, rng, i=i: (
+            production.make_controller(before, texts[i], wall, rng, change)
         )
     return world
 
@@ -44,7 +44,7 @@
     while not world.controllers[index][0].alive:
         await asyncio.sleep(0.1)
     world.controller_hosts.other_versions.pop(index, None)
-    world.troubled_until = max(world.troubled_until, world.loop.now + back_s + 35.0)
+    world.grace_until = max(world.grace_until, world.loop.now + back_s + 35.0)
     world.crash_controller(index, back_s)
 
 
@@ -112,7 +112,7 @@
     await asyncio.sleep(55.0)
     check_services(world, 800)
     waiting = [*await arriving, *services]
-    deadline = max(world.loop.now, world.troubled_until) + 300.0
+    deadline = max(world.loop.now, world.grace_until) + 300.0
     while world.loop.now < deadline and not all(task.done() for task in waiting):
         await asyncio.sleep(1.0)
     watching.cancel()
@@ -187,7 +187,7 @@
 ) -> None:
     monkeypatch.setattr(production, "deploy", lambda: {"production": commit})
     with pytest.raises(pytest.fail.Exception, match="version in production"):
-        production.unpack(production.recorded())
+        production.unpack(production.deployed_commit())
 
 
 @pytest.mark.parametrize(
--- a/tests/sim/user_rules.py
+++ b/tests/sim/user_rules.py
@@ -53,7 +53,7 @@
             if job["parcels"] == max(sizes):
                 names.append(f"largest {job['docket']}")
                 waited = record.begun.get(job_id, 1e9) - max(
-                    record.submitted[job_id], record.troubled_until
+                    record.submitted[job_id], record.grace_until
                 )
                 if waited > LARGEST_JOB_MAX_WAIT_S:
                     record.report_violation(
--- a/tests/sim/users.py
+++ b/tests/sim/users.py
@@ -114,7 +114,7 @@
                     await self.ask_all_controllers(job, wire, cancel_after is not None)
             elif status == 404:
                 self.record.report_violation("forgotten", job_id)
-            elif self.loop.now - max(answered, self.record.troubled_until) > MAX_UNANSWERED_S:
+            elif self.loop.now - max(answered, self.record.grace_until) > MAX_UNANSWERED_S:
                 self.record.report_violation("forgotten", f"{job_id} unanswered for 75 s")
                 return
             if all_done is None:
--- a/tests/sim/worker.py
+++ b/tests/sim/worker.py
@@ -66,7 +66,7 @@
         self.worker, self.name, self.attempt, self.job = worker, name, attempt, job
         self.job_id = decode_task_name(name)[0]
         self.state, self.exit_reason, self.checkpointed = "pulling", "", False
-        self.counted = False  # on its machine, as reported to the observer
+        self.on_machine = False  # reported to the observer as on its machine
         self.timer: asyncio.TimerHandle | None = None
 
     def status(self) -> dict[str, Any]:
--- a/tests/sim/world.py
+++ b/tests/sim/world.py
@@ -109,13 +109,13 @@
         return self.record.starts
 
     @property
-    def troubled_until(self) -> float:
-        """Time until which the effects of faults excuse delays."""
-        return self.record.troubled_until
+    def grace_until(self) -> float:
+        """End of the grace period in which the effects of faults excuse delays."""
+        return self.record.grace_until
 
-    @troubled_until.setter
-    def troubled_until(self, time: float) -> None:
-        self.record.troubled_until = time
+    @grace_until.setter
+    def grace_until(self, time: float) -> None:
+        self.record.grace_until = time
 
     # --- controllers ---------------------------------------------------------
     def leader(self) -> int | None:
