--- a/bench/larger.py
+++ b/bench/larger.py
@@ -20,7 +20,7 @@
 
 from peathall.cells.settings import CellSettings, Neighbour
 from peathall.operator_config.settings import OperatorSettings
-from tests.sim.fleet_day import FleetPlayer
+from tests.sim.fleet_day import FleetDayRunner
 from tests.sim.net import Host, MemoryTransport, VirtualLoop
 from tests.sim.test_days import virtual
 from tests.sim.world import World
@@ -53,7 +53,7 @@
 def run_fleet(machines: int, share: float, cells: bool) -> None:
     began = time.monotonic()
     with virtual(21) as loop:
-        player = FleetPlayer(loop, machines, share)
+        player = FleetDayRunner(loop, machines, share)
         if cells:
             player.world.controller_hosts.operators = dict.fromkeys(
                 range(player.world.size), OPERATORS_WITH_CELLS
--- a/tests/sim/production.py
+++ b/tests/sim/production.py
@@ -1,5 +1,5 @@
-"""Earlier versions, above all the one in production, taken from the repository's history, each
-under a name of its own."""
+"""Imports earlier versions of the package from the repository's history, each under its own name,
+so that they run beside the current one. The main use is the version in production."""
 
 from __future__ import annotations
 
@@ -20,19 +20,19 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-NAME = "peathall_production"
+PACKAGE_PREFIX = "peathall_production"
 
 
 @cache
 def unpack(commit: str, change: tuple[str, str] | None = None) -> str:
-    """The name under which the package of that commit can be imported, its words replaced where
-    `change` says so, to see that a difference is noticed."""
+    """Unpacks the package of that commit; returns the name under which it can be imported. `change`
+    (old and new text) alters its source, for tests that a difference is noticed."""
     archive = subprocess.run(
         ["git", "-C", str(ROOT), "archive", commit, "peathall"], capture_output=True, check=False
     )
     if archive.returncode:
         pytest.fail(f"the history has no commit {commit}, the version in production: fetch it all")
-    name = f"{NAME}_{commit[:12]}"
+    name = f"{PACKAGE_PREFIX}_{commit[:12]}"
     if change is not None:
         name += f"_{crc32(change[1].encode()):x}"
     folder = Path(tempfile.mkdtemp(prefix="peathall-"))
@@ -56,11 +56,11 @@
 
 
 def deploy() -> dict[str, Any]:
-    """The deploy file."""
+    """The contents of deploy/service.toml."""
     return tomllib.loads((ROOT / "deploy" / "service.toml").read_text())
 
 
-def recorded() -> str:
+def deployed_commit() -> str:
     """The commit that the deploy file names as the version in production."""
     commit = deploy().get("production")
     if not commit:
@@ -68,9 +68,11 @@
     return str(commit)
 
 
-def node(commit: str, text: str, wall: Any, rng: Any, change: tuple[str, str] | None = None) -> Any:
-    """A controller as of that commit, with the settings of `text`."""
+def make_controller(
+    commit: str, text: str, wall: Any, rng: Any, change: tuple[str, str] | None = None
+) -> Any:
+    """A controller of that commit's version, with settings `text`; that version calls it a node."""
     name = unpack(commit, change)
     settings = importlib.import_module(f"{name}.settings")
-    made = importlib.import_module(f"{name}.node")
-    return made.Node(settings.parse(text), settings.Operator(), wall, rng)
+    node_module = importlib.import_module(f"{name}.node")
+    return node_module.Node(settings.parse(text), settings.Operator(), wall, rng)
--- a/tests/sim/sites.py
+++ b/tests/sim/sites.py
@@ -1,10 +1,10 @@
-"""Settings of the controllers of a simulated site."""
+"""Controller settings of a simulated site."""
 
 from __future__ import annotations
 
 from peathall.config.platform import Settings, parse
 
-_CONTROLLER = """
+_SETTINGS_TEMPLATE = """
 member = "hall-{i}"
 location = "{zone}"
 api_addr = "10.0.0.{n}:8080"
@@ -44,27 +44,27 @@
 list_lag_s = 4.0
 """
 
-# Smaller limits of the state service, announced for a later time.
+# Lower limits that the state service will have later.
 NEXT_LIMITS = "[params.state.next]\nvalue_kb = 2.0\ntxn_ops = 4\nwrite_rps = {write_rps}\n"
 
 
 def controller_text(index: int, size: int = 3) -> str:
-    """The settings file of one of `size` controllers, which are in two zones by turns."""
+    """Settings file of one of `size` controllers, which alternate between two zones."""
     peers = "".join(
         f'[[known]]\nmember = "hall-{k}"\nlocation = "a"\nendpoint = "10.0.0.{k + 1}:8081"\n'
         for k in range(size)
         if k != index
     )
     zone = "ab"[index % 2]
-    return _CONTROLLER.format(i=index, n=index + 1, zone=zone, peers=peers, size=size)
+    return _SETTINGS_TEMPLATE.format(i=index, n=index + 1, zone=zone, peers=peers, size=size)
 
 
 def controller_text_with_next_limits(index: int, size: int = 3, write_rps: float = 30.0) -> str:
-    """The same with the announced limits, `write_rps` in changes a second."""
+    """The same, with the lower limits announced; `write_rps` in changes per second."""
     limits = NEXT_LIMITS.format(write_rps=write_rps)
     return controller_text(index, size).replace("[params.cloud]", limits + "[params.cloud]")
 
 
 def controller_settings(index: int, size: int = 3) -> Settings:
-    """The settings as the service reads them."""
+    """The settings as a controller parses them."""
     return parse(controller_text(index, size))
