--- a/peathall/autoscaling/__init__.py
+++ b/peathall/autoscaling/__init__.py
@@ -1,1 +1,1 @@
-"""Autoscaling: provisions and deletes machines, and reconciles them with the provider's list."""
+"""Autoscaling: provisions and deletes machines, and reconciles them with the cloud's list."""
--- a/peathall/autoscaling/actions.py
+++ b/peathall/autoscaling/actions.py
@@ -8,7 +8,7 @@
 
 
 class CloudError(Exception):
-    """A cloud request failed; `sent` tells whether the provider may nevertheless execute it."""
+    """A cloud request failed; `sent` tells whether the cloud may nevertheless execute it."""
 
     def __init__(self, why: str, sent: bool) -> None:
         super().__init__(why)
--- a/peathall/autoscaling/machine_types.py
+++ b/peathall/autoscaling/machine_types.py
@@ -1,4 +1,4 @@
-"""The machine types of the cloud provider, and their copy in the state service."""
+"""The machine types of the cloud, and their copy in the state service."""
 
 from __future__ import annotations
 
--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -1,4 +1,4 @@
-"""A client of the cloud provider's machine API that keeps to its rate limit."""
+"""A client of the cloud's machine API that keeps to its rate limit."""
 
 from __future__ import annotations
 
--- a/peathall/autoscaling/scale_in.py
+++ b/peathall/autoscaling/scale_in.py
@@ -164,7 +164,7 @@
 
     def idle_for_starving_jobs(self, now: float, shortage: CapacityShortage) -> list[Machine]:
         """A few long-idle machines that no starving job can use, if the cloud has returned capacity
-        errors: deleting them may free capacity for machines that the job can use. Done rarely,
+        errors: deleting them may free capacity for machines that such a job can use. Done rarely,
         since most clouds limit each type and zone separately."""
         gap_s = now - self._last_freed_capacity_at
         if (
--- a/peathall/autoscaling/scale_in_loop.py
+++ b/peathall/autoscaling/scale_in_loop.py
@@ -37,7 +37,7 @@
         self.failed: list[str] = []
 
     def note_failed(self, name: str) -> None:
-        """Delete a machine that the cloud lists as failed with the next batch."""
+        """Let the next batch delete a machine that the cloud lists as failed."""
         self.failed.append(name)
 
     def machines_to_delete(self, now: float) -> list[Machine]:
--- a/peathall/autoscaling/scale_out.py
+++ b/peathall/autoscaling/scale_out.py
@@ -98,7 +98,7 @@
 
     `unplaced`: jobs with their number of unplaced tasks, the most important job first.
     `starting`: capacity of machines that will soon be up.
-    `free`: capacity that the placement round left on machines that are up. It only influences the
+    `free`: capacity that the scheduling round left on machines that are up. It only influences the
     choice of a zone: by the time that new machines are up, other tasks will have taken it.
     `offers`: the kinds of machine for which the cloud has returned no recent capacity error.
     """
--- a/peathall/autoscaling/scale_out_loop.py
+++ b/peathall/autoscaling/scale_out_loop.py
@@ -17,7 +17,7 @@
 
 
 class ScaleOutLoop:
-    """Keeps the demand that the latest placement round left, and provisions machines for it."""
+    """Keeps the demand that the latest scheduling round left, and provisions machines for it."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._free_capacity: dict[str, list[float]] = {}  # by machine name, after that round
 
     def note_unplaced(self, plan: Plan) -> None:
-        """Store the tasks that a placement round could not place, and the capacity it left free."""
+        """Store the tasks that a scheduling round could not place, and the capacity left free."""
         self._unplaced, self._free_capacity = plan.unplaced, plan.free_capacity
         if self._unplaced:
             self._plan_requested.set()
@@ -47,7 +47,7 @@
         return CapacityShortage(starving, self._provisioner.has_capacity_errors(now))
 
     async def wait(self) -> None:
-        """Wait until a placement round has left unplaced tasks, but no longer than a tick."""
+        """Wait until a scheduling round has left unplaced tasks, but no longer than a tick."""
         try:
             await asyncio.wait_for(self._plan_requested.wait(), constants.TICK_S)
         except TimeoutError:
--- a/peathall/cells/borrower.py
+++ b/peathall/cells/borrower.py
@@ -86,7 +86,7 @@
         self.capacity = capacity
         self.tasks = tasks
         self.clock = clock  # monotonic time
-        self.request_heartbeat = request_heartbeat  # to the home cell of this name, soon
+        self.request_heartbeat = request_heartbeat  # sends the home cell of this name one soon
         self.submitted_here = submitted_here  # whether a user of this cell submitted the job id
         self.borrowed: dict[str, BorrowedJob] = {}
         self.reserving: dict[str, JobSpec] = {}  # jobs whose offers are in progress
--- a/peathall/cells/cell_leader.py
+++ b/peathall/cells/cell_leader.py
@@ -48,7 +48,7 @@
 class CellEnvironment(Struct, frozen=True):
     """What the controller and the leader term provide to this component."""
 
-    wall: Callable[[], float]  # time of day
+    wall: Callable[[], float]  # wall-clock time
     is_leader: Callable[[], bool]  # whether the leader may act now
     may_send: Callable[[], bool]  # whether the leader lease is valid, also during recovery
     rng: random.Random
--- a/peathall/cells/handoff_scheduler.py
+++ b/peathall/cells/handoff_scheduler.py
@@ -58,7 +58,7 @@
         self.home = home
         self.capacity = capacity
         self.clock = clock  # monotonic time
-        self.wall = wall  # time of day
+        self.wall = wall  # wall-clock time
         self.policy = HandoffPolicy(params.objectives, rng)
         self.unplaced: list[JobView] = []  # jobs without capacity in the latest scheduling round
         self._background = BackgroundTasks()
--- a/peathall/cells/home.py
+++ b/peathall/cells/home.py
@@ -268,9 +268,8 @@
             return Ruling(item.job, item.epoch, Verdict.GRANTED, handoff.lease.lease_s)
         if item.stopping and not handoff.stopped:
             handoff.stopped = True
-            self.jobs.retry_finalization(
-                job
-            )  # a cancellation that waited for this can be confirmed now
+            # A cancellation that waited for this can be confirmed now.
+            self.jobs.retry_finalization(job)
         return Ruling(item.job, item.epoch, Verdict.REVOKED)
 
     def _mark_done(self, job: Job) -> None:
--- a/peathall/cells/lease.py
+++ b/peathall/cells/lease.py
@@ -1,8 +1,8 @@
 """The lease on a handoff, as the home cell computes it from its monotonic clock.
 
 The borrower measures the lease from when it *sent* the heartbeat that renewed it, less clock drift
-and a margin (`HeldLease`); the home cell from when it *received* that heartbeat, plus clock
-drift. So the lease always expires at the borrower first.
+and a margin (`HeldLease`); the home cell from when it *received* that heartbeat, plus clock drift.
+No heartbeat is received before it is sent, so the lease always expires at the borrower first.
 """
 
 from __future__ import annotations
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -1,7 +1,7 @@
 """Constants that are the same at every site.
 
 Values that differ between sites come from elsewhere: lease durations, rate limits and objectives
-from the settings file, machine types from the cloud provider at run time. The unit of a constant is
+from the settings file, machine types from the cloud at run time. The unit of a constant is
 the end of its name (`_S` seconds, `_BYTES`) or the beginning of its comment.
 """
 
@@ -67,7 +67,7 @@
 
 # --- workers ------------------------------------------------------------------------------------
 LEASE_EXPIRY_MARGIN_S = 1.0  # added to lease and clock drift, for late timers of this process
-TICK_S = 1.0  # between checks of leases; capacity of an expired lease is freed at most so late
+TICK_S = 1.0  # between checks of leases; capacity of an expired lease is freed no later than this
 # Heartbeat intervals without a heartbeat after which a machine takes no new work.
 UNSCHEDULABLE_HEARTBEATS = 3.0
 # Of the worker's lease, if that is less: a site may set long heartbeat intervals.
@@ -99,8 +99,10 @@
 CERTAIN_LIVE_SHARE = 0.8
 HEARTBEAT_HOLD_S = 1.5  # longest wait of a heartbeat for a leader in recovery; the worker waits 4 s
 UNHEALTHY_FAILED_JOBS = 3  # different jobs that fail in a row on a machine: it is quarantined
-FAILING_JOB_MACHINES = 2  # machines on which a job that never succeeded fails: it counts as failing
-WIDESPREAD_FAILURE_MACHINES = 3  # the same for a job that has succeeded before
+# Machines on which a job that never succeeded fails: it counts as failing, since the fault is
+# probably in the job itself.
+FAILING_JOB_MACHINES = 2
+WIDESPREAD_FAILURE_MACHINES = 3  # the same number for a job that has succeeded before
 FAILING_JOBS_KEPT = 200  # entries in the record of failing jobs, which a new leader reads
 FAILING_JOB_BYTES = 48  # of one entry; a job id has up to 32
 SUCCESS_RUNTIME_S = 5.0  # running longer counts as success: a faulty task fails early
@@ -134,7 +136,8 @@
 ROUND_MIN_PAUSE_S = 0.2  # minimum pause before a round, so that changes close in time share one
 ROUND_PAUSE_FACTOR = 6.0  # times the last round's duration: pause after it, to limit the load
 ROUND_SLICE_S = 0.01  # planning time after which a round yields to the event loop
-ROUND_COMPACT_AGE_S = 60.0  # minimum age of a compacted round record: most are deleted earlier
+# Minimum age at which a round record is compacted: most are deleted earlier, without that write.
+ROUND_COMPACT_AGE_S = 60.0
 ROUND_COMPACT_FACTOR = 4  # times the live attempts: a record that names more is compacted
 ROUND_MAX_WAIT_S = 2.0  # between rounds without a request: deadlines and health change with time
 RECENT_GANG_S = 180.0  # after a gang of a class arrives, capacity is left free for the next one
--- a/peathall/duties/claim.py
+++ b/peathall/duties/claim.py
@@ -88,6 +88,7 @@
         self._release_requested = asyncio.Event()
 
     def _set_phase(self, phase: DutyPhase) -> None:
+        """Change the phase. No other code sets it."""
         if phase is not self.phase:
             log.info(
                 "duty %s: phase changed from %s to %s", self.duty.value, self.phase.name, phase.name
--- a/peathall/duties/delegated_writes.py
+++ b/peathall/duties/delegated_writes.py
@@ -113,7 +113,8 @@
         return ActionRequest(self.duty, 0, self.term, self.writer.guard.version, write=transaction)
 
     async def _commit(self, batch: list[Mutation]) -> None:
-        """Send a batch to the holder, and repeat the request until its outcome is known."""
+        """Send a batch to the holder, and repeat the request until its outcome is known: a request
+        without a response may have been committed."""
         request, outcome_unknown = self._build_request(batch), False
         while True:
             if self.direct:
--- a/peathall/duties/model.py
+++ b/peathall/duties/model.py
@@ -71,7 +71,7 @@
     token: int  # fencing token of this claim
     lease: int  # id of the holder's lease in the state service
     since: float  # seconds since the epoch, by the holder's wall clock
-    vacant_s: float  # without a holder before this claim, as the claimant observed it
+    vacant_s: float  # time without a holder before this claim, as the claimant observed it
 
 
 class Handover(Struct, frozen=True):
--- a/peathall/duties/retirement.py
+++ b/peathall/duties/retirement.py
@@ -49,7 +49,7 @@
     async def _switch_off(self, writer: Writer) -> bool:
         """Switch duties off, on the condition that no duty has a holder; whether that succeeded.
 
-        From then on the leader calls the cloud itself, which it must not do beside a holder.
+        From then on the leader calls the cloud itself, which it must not do while a duty is held.
         """
         if not self._record_cache.enabled_version:
             return False  # the record has not been read yet
--- a/peathall/placement/bin_packing.py
+++ b/peathall/placement/bin_packing.py
@@ -35,7 +35,7 @@
 
     @property
     def spot(self) -> bool:
-        """Whether the cloud provider may reclaim the machine at any time."""
+        """Whether the cloud may reclaim the machine at any time."""
 
 
 def allowed(machine: MachineAttributes, spec: JobSpec) -> bool:
--- a/peathall/placement/eviction.py
+++ b/peathall/placement/eviction.py
@@ -59,8 +59,8 @@
         self._stop_gracefully(attempt, now)
 
     def drain(self, machine: Machine, now: float) -> None:
-        """Stop the attempts that would not end before the cloud provider reclaims the machine, so
-        that they can checkpoint and resume elsewhere. The next rounds move replicas instead."""
+        """Stop the attempts that would not end before the cloud reclaims the machine, so that they
+        can checkpoint and resume elsewhere. The next rounds move replicas instead."""
         left_s = (machine.reclaimed_at or now) - now
         for attempt in list(machine.attempts.values()):
             spec = attempt.job.spec
--- a/peathall/placement/job_views.py
+++ b/peathall/placement/job_views.py
@@ -103,8 +103,8 @@
 
     def _zone_unknown(self, job: Job) -> bool:
         """Whether the job has a zone rule and a task on a machine whose zone is unknown. Such a
-        machine is known from stored records only: it has sent no heartbeat yet and the cloud
-        provider has not listed it yet."""
+        machine is known from stored records only: it has sent no heartbeat yet and the cloud has
+        not listed it yet."""
         if not (job.spec.one_zone or job.spec.spread):
             return False
         return any(not self.cluster.machines[a.machine].zone for a in job.attempts.values())
--- a/peathall/placement/placement.py
+++ b/peathall/placement/placement.py
@@ -137,7 +137,7 @@
         return self.snapshot.machines.starting(self.loop.time())
 
     def drain_machine(self, machine: Machine, now: float) -> None:
-        """Stop the attempts that would not end before the cloud provider reclaims the machine."""
+        """Stop the attempts that would not end before the cloud reclaims the machine."""
         self.eviction.drain(machine, now)
 
     # --- other cells' jobs ---------------------------------------------------
--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -167,7 +167,8 @@
         return options
 
     def _hold_machines(self, job: JobView) -> None:
-        """Hold the machines that become free soonest for a gang that preemption does not help."""
+        """Hold the machines that become free soonest for a gang that cannot get enough capacity by
+        preemption."""
         spec = job.spec
         best: list[FutureCapacity] | None = None
         for zone in self.pool.zones(spec):
--- a/peathall/placement/rounds.py
+++ b/peathall/placement/rounds.py
@@ -201,8 +201,8 @@
                 )
 
     def compaction_mutation(self, key: str, now: float) -> Mutation | None:
-        """The mutation that reduces the record to the attempts that exist now; None if none do or
-        the record is deleted."""
+        """The mutation that reduces the record to the attempts that still exist; None if there are
+        none, or if the record is deleted."""
         attempts = list(self.cluster.rounds.get(key, ()))
         if not attempts or key not in self.writer.versions:
             return None
--- a/peathall/placement/victims.py
+++ b/peathall/placement/victims.py
@@ -34,9 +34,9 @@
             spec = job.spec
             if spec.team != team or not job.attempts:
                 continue
-            leaving = sum(1 for attempt in job.attempts.values() if attempt.is_ending)
-            cpus, gpus = cpus + spec.cpus * leaving, gpus + spec.gpus * leaving
-            if spec.priority > priority and leaving < len(job.attempts):
+            ending = sum(1 for attempt in job.attempts.values() if attempt.is_ending)
+            cpus, gpus = cpus + spec.cpus * ending, gpus + spec.gpus * ending
+            if spec.priority > priority and ending < len(job.attempts):
                 units += self._units(job)
         return TeamWorkload((cpus, gpus), units)
 
--- a/peathall/placement/views.py
+++ b/peathall/placement/views.py
@@ -192,7 +192,9 @@
     spec: JobSpec
     pending: int
     within_quota: bool = False  # within its team's quota
-    latest_start: float = 0.0  # wall-clock time by which it must start to meet an objective
+    # Wall-clock time by which it must start to meet an objective; far in the future if it can meet
+    # none any more.
+    latest_start: float = 0.0
     running_zones: dict[str, int] = field(default_factory=dict)  # zone -> tasks there
     has_old_attempts: bool = False  # a gang some of whose earlier attempts are not gone yet
     urgent: bool = True  # may preempt others: would soon miss an objective
--- a/peathall/workers/events.py
+++ b/peathall/workers/events.py
@@ -15,7 +15,7 @@
         """Tasks of the job were reported done."""
 
     def state_changed(self) -> None:
-        """A placement round is due, since what can or must be placed may have changed."""
+        """A scheduling round is due, since what can or must be placed may have changed."""
 
     def images_changed(self, machine: Machine) -> None:
         """The machine has cached another image."""
@@ -24,7 +24,7 @@
         """A heartbeat of the machine carries a fencing token of this term for the first time."""
 
     def spot_notice_received(self, machine: Machine, now: float) -> None:
-        """The cloud provider has announced that it reclaims the spot machine."""
+        """The cloud has announced that it reclaims the spot machine."""
 
 
 class IgnoredEvents:
--- a/peathall/workers/faults.py
+++ b/peathall/workers/faults.py
@@ -118,8 +118,8 @@
         return machine.last_success_at > failed_at
 
     def note_runtimes(self, now: float) -> list[Machine]:
-        """Mark jobs as healthy of which a task has run much longer than the failed tasks; called
-        every second. Returns the machines found unhealthy as a result."""
+        """Mark a job as healthy once one of its tasks has run much longer than its failed tasks
+        did; called every second. Returns the machines found unhealthy as a result."""
         unhealthy: list[Machine] = []
         for job in list(self.jobs_with_failures.values()):
             if self.cluster.jobs.get(job.spec.id) is not job:
@@ -133,6 +133,6 @@
         return unhealthy
 
     def machines_to_avoid(self, job: Job) -> list[str]:
-        """The machines on which the job failed most recently, and no task has succeeded since."""
+        """The few machines with the job's latest failures on which no task has succeeded since."""
         names = [machine.name for machine in self._machines_without_success(job)]
         return names[-constants.AVOID_MACHINES :]
--- a/peathall/workers/health.py
+++ b/peathall/workers/health.py
@@ -101,7 +101,7 @@
         )
 
     def unreachable_after_s(self) -> float:
-        """Seconds of silence that are two missed heartbeats: the machine counts as unreachable."""
+        """Seconds of silence after which a machine counts as unreachable: two missed heartbeats."""
         return 2 * self.settings.report_s + constants.TICK_S
 
     def heard_elsewhere(self) -> Callable[[Machine], bool]:
--- a/peathall/workers/image_cache.py
+++ b/peathall/workers/image_cache.py
@@ -92,7 +92,7 @@
         return [[image, round(size, 1)] for image, size in images]
 
     def forget_unknown(self) -> None:
-        """Drop machines that no longer exist, after the cloud provider has listed all that do."""
+        """Drop machines that no longer exist, after the cloud has listed all that do."""
         for by_machine in (self.loaded_images, self.record_by_machine):
             for name in [n for n in by_machine if n not in self.cluster.machines]:
                 del by_machine[name]
--- a/peathall/workers/workers.py
+++ b/peathall/workers/workers.py
@@ -141,7 +141,7 @@
         self.leases.check(now, self.failover_at)
 
     def machine_gone(self, machine: Machine, now: float, reason: str) -> None:
-        """Remove a machine that, according to the cloud provider, is deleted or has failed."""
+        """Remove a machine that, according to the cloud, is deleted or has failed."""
         self.cluster.note_deleted(machine.name, now)
         self.tracking.drop_machine(machine.name)
         self.delivery.forget(machine)
