--- a/peathall/placement/preemption.py
+++ b/peathall/placement/preemption.py
@@ -103,7 +103,7 @@
         """
         spec = job.spec
         if not spec.gang and not job.within_quota and spec.priority >= self.lowest_priority:
-            # Nothing can be preempted, and independent tasks need not hold capacity for each other.
+            # Nothing can be preempted, and independent tasks need not get all capacity at once.
             return False
         if not job.urgent and not job.within_quota:
             return False
