--- a/peathall/cluster/job.py
+++ b/peathall/cluster/job.py
@@ -68,8 +68,8 @@
         self.stopping = False  # every heartbeat response carries a stop command for it
         self.grace_s = 0.0  # time to checkpoint that the stop command allows
         self.epoch = 0  # of the worker when the attempt was sent or last reported; 0: unknown
-        self.since = 0.0  # steady time at which it entered the phase
-        self.last_status: TaskStatus | None = None  # in the latest heartbeat with it
+        self.since = 0.0  # monotonic time at which it entered the phase
+        self.last_status: TaskStatus | None = None  # from the latest heartbeat that lists it
 
     def enter(self, phase: AttemptPhase, now: float) -> None:
         """Change the phase, unless it is GONE."""
@@ -123,25 +123,25 @@
         # No task may start in this cell: another cell may be running the job, or the lease under
         # which this cell runs a borrowed job has expired.
         self.on_hold = False
-        self.start_deadline = math.inf  # steady time after which no start command may be sent
+        self.start_deadline = math.inf  # monotonic time after which no start command may be sent
         self.borrowed = False  # submitted to another cell, and run by this one
         self.running_remotely = 0  # running tasks in another cell, as last reported
         self.started_late = False  # it was starving when it was started
         self.has_started = False  # one of its tasks is known to have run
-        self.idle_since = now  # steady time since which it has had no attempts
+        self.idle_since = now  # monotonic time since which it has had no attempts
         self.phase = JobPhase.ACTIVE
         self.done = Ranges()  # tasks reported as done, whether stored or not
         self.done_keys: set[str] = set()  # keys of the records that hold its done tasks
         self.stored_done = Ranges()  # tasks stored as done in the state service
-        self.pending = Ranges([(0, spec.tasks)])  # neither done nor in an attempt
+        self.pending = Ranges([(0, spec.tasks)])  # tasks that are not done and have no attempt
         self.attempts: dict[int, Attempt] = {}  # task -> its attempt
         self.health = JobHealth.UNKNOWN
-        # Machine -> steady time of the latest failure of the job there, in order of time.
+        # Machine -> monotonic time of the latest failure of the job there, in order of time.
         self.failed_on: dict[str, float] = {}
         self.longest_failed_run_s = 0.0  # longest time that a task ran before it failed
         self.consecutive_failures = 0  # failed attempts since the job was last healthy
         self.last_failed_attempt = 0  # number of the latest attempt that failed
-        self.backoff_until = 0.0  # steady time before which no task is placed
+        self.backoff_until = 0.0  # monotonic time before which no task is placed
         self.record_key = ""  # key of its record in the state service
         self.final_record_key = ""  # key of the record with its final status
         self.write_pending = False  # a write of its done tasks is in progress
--- a/peathall/cluster/machine.py
+++ b/peathall/cluster/machine.py
@@ -35,7 +35,7 @@
 class Machine:
     """A machine, its capacity, and the known state of its worker.
 
-    CPUs and GPUs are counts, memory is in GB, times are steady times in seconds.
+    CPUs and GPUs are counts, memory is in GB, times are monotonic, in seconds.
     """
 
     __slots__ = (
--- a/peathall/cluster/state.py
+++ b/peathall/cluster/state.py
@@ -20,7 +20,7 @@
 
 
 class ClusterListener(Protocol):
-    """Receives the effects of released attempts."""
+    """Is notified when the release of attempts ends a scheduling round or frees capacity."""
 
     def round_finished(self, key: str) -> None:
         """The last attempt of the scheduling round with this key has ended."""
@@ -49,14 +49,14 @@
         self.jobs: dict[str, Job] = {}
         self.archived: dict[str, JobStatus] = {}  # final status of recently archived jobs, by id
         self.machines: dict[str, Machine] = {}
-        # Name of a deleted machine -> steady time of its deletion, in order of time.
+        # Name of a deleted machine -> monotonic time of its deletion, in order of time.
         self._deleted: OrderedDict[str, float] = OrderedDict()
         self.types: dict[str, MachineType] = {}
         self.usage: dict[str, list[float]] = {}  # team -> CPUs and GPUs allocated
-        # Round key -> its attempts that have not ended, in order of allocation.
+        # Key of a scheduling round -> its attempts that have not ended, in order of allocation.
         self.rounds: dict[str, dict[Attempt, None]] = {}
-        self.last_attempt_number = first_attempt  # the latest attempt number assigned
-        self.last_submission_at = -1e9  # steady time at which the latest job was added
+        self.last_attempt_number = first_attempt  # the latest one assigned; the first is one higher
+        self.last_submission_at = -1e9  # monotonic time at which the latest job was added
         self.listener = listener or NullClusterListener()
 
     def new_attempt_number(self) -> int:
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -42,22 +42,24 @@
 # Jobs of one record that are archived in one mutation: together with the rewritten record no more
 # operations than a busy state service has to spare.
 ARCHIVE_BATCH_JOBS = 3
-WATCH_HOLD_S = 6.0  # a silent partition is noticed after this plus the timeout
+# Longest wait of a watch for changes. A silent partition is noticed after this plus the timeout.
+WATCH_HOLD_S = 6.0
 VALUE_SIZE_SHARE = 0.85  # of value_kb is used: the service measures values in another encoding
 # Operations of the largest indivisible transaction: a job's final status, the record without the
 # job, and the record in which another controller accepted it.
 MIN_TRANSACTION_OPS = 3
-# Refusals of one transaction for its rate, STORE_RETRY_S apart. A full burst builds up within one
-# second, so a transaction refused for longer has more operations than the rate ever allows.
+# Refusals of one transaction by the rate limit, STORE_RETRY_S apart, after which it is rejected. A
+# full burst builds up within one second, so a transaction refused for longer has more operations
+# than the rate ever allows.
 MAX_RATE_REFUSALS = 8
-TXN_CONDITIONS_PER_OP = 4  # limit of conditions in one transaction, times txn_ops (protocol)
+TXN_CONDITIONS_PER_OP = 4  # times txn_ops: limit of conditions in one transaction (protocol)
 MAX_TXN_BYTES = 48 * 1024  # of one transaction, with a margin to the protocol's 64 KiB
 
 # --- leadership ---------------------------------------------------------------------------------
 LEADER_LEASE_TTL_S = 3.0  # failover waits this long; one slow renewal must not lose the lease
 LEADER_RENEW_S = 0.7  # between renewals: four attempts fit into one lease
 CLOCK_DRIFT = 0.0005  # fraction; the monotonic clocks of two machines differ by up to 0.05%
-LEADER_LEASE_MARGIN_S = 0.3  # time for a message to leave that is sent just before expiry
+LEADER_LEASE_MARGIN_S = 0.3  # a message sent just before expiry has this long to leave
 CAMPAIGN_JITTER_S = 0.25  # at most; spreads the campaigns, so that the first one usually wins
 CAMPAIGN_REFUSED_RETRY_S = 2.0  # between campaigns that fail until operators change a setting
 # No campaigns for this long after resigning because workers could not reach this controller, or
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -92,7 +92,7 @@
         self._assemble_listeners()
 
     def _make_duties(self) -> Duties:
-        # Imported only if duties are enabled, to save memory in other controllers.
+        # Imported only if duties are enabled, since the import takes memory.
         from peathall.duties.duties import Duties
 
         return Duties(
--- a/peathall/controller/health.py
+++ b/peathall/controller/health.py
@@ -23,7 +23,7 @@
     def is_isolated(self) -> bool:
         """Whether neither the state service nor any peer responds.
 
-        Other controllers may then be able to serve, but this one is not. A controller without
+        Other controllers may then be able to serve, but this one can't. A controller without
         peers is never isolated.
         """
         return (
--- a/peathall/controller/job_requests.py
+++ b/peathall/controller/job_requests.py
@@ -1,4 +1,4 @@
-"""Routing of users' requests to the leader here, to the leader elsewhere, or to the follower."""
+"""Routing of users' requests to the leader, here or elsewhere, or to the follower service."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
         return await self._ask_follower(request)
 
     async def serve_forwarded(self, request: JobRequest) -> JobResponse:
-        """Answer a request that another controller forwarded, since it considers this one leader.
+        """Answer a request forwarded by another controller that considers this one the leader.
 
         The request is never forwarded again: RETRY_LATER if this controller does not lead or is
         overloaded.
--- a/peathall/controller/user_routes.py
+++ b/peathall/controller/user_routes.py
@@ -88,8 +88,8 @@
     def _respond(self, answer: JobResponse) -> Response:
         """Encode a response.
 
-        The connection is closed if this controller is isolated, so that the user's next one may
-        reach another controller that can serve.
+        The connection is closed after a 503 if this controller is isolated, so that the user's next
+        connection may reach another controller that can serve.
         """
         response = user_response(answer)
         response.close = response.status == SERVICE_UNAVAILABLE and self._health.is_isolated()
--- a/peathall/jobs/external.py
+++ b/peathall/jobs/external.py
@@ -32,7 +32,7 @@
         self._reading = SingleFlightRead(self._read)
 
     def start_after(self, revision: int) -> None:
-        """Read only changes after this revision: its records have been loaded."""
+        """Read only changes after this revision: the records up to it have been loaded."""
         self.revision = revision
 
     async def watch_until_cancelled(self) -> None:
--- a/peathall/jobs/follower.py
+++ b/peathall/jobs/follower.py
@@ -1,8 +1,8 @@
-"""Handles users' requests, through the state service, at a controller that can't reach the leader.
+"""Answers users' requests through the state service while the leader can't be reached.
 
 A submission creates a record only if none exists, and a query only reads, so both are safe
-whatever a leader does concurrently. A cancellation has to wait for a leader, since a leader answers
-queries from memory.
+whatever a leader does concurrently. A cancellation has to wait for a leader: a leader answers
+queries from memory, where a cancellation by a follower would be missing.
 """
 
 from __future__ import annotations
--- a/peathall/jobs/listener.py
+++ b/peathall/jobs/listener.py
@@ -11,7 +11,7 @@
     """Receives the changes of jobs that affect placement and the workers."""
 
     def state_changed(self) -> None:
-        """A job was accepted or reached a final status: placement has to run again."""
+        """A job was accepted or reached a final status: a scheduling round is needed."""
 
     def stop_all(self, job: Job) -> None:
         """The job is being cancelled: stop its attempts, and refuse starts that are in
--- a/peathall/jobs/lookup.py
+++ b/peathall/jobs/lookup.py
@@ -15,7 +15,7 @@
 
 
 class JobLookup:
-    """Answers queries. Responses never contradict earlier ones, even of other controllers."""
+    """Answers queries. Responses never contradict earlier ones, even those of other controllers."""
 
     def __init__(self, cluster: ClusterState, store: StoreClient, external: ExternalJobs) -> None:
         self.cluster = cluster
--- a/peathall/jobs/registry.py
+++ b/peathall/jobs/registry.py
@@ -26,7 +26,7 @@
         self.cluster = cluster
         self.archive = archive
         self.listener = listener
-        self.wall = wall  # wall clock: seconds, as in `JobSpec.submitted`
+        self.wall = wall  # wall-clock time in seconds, as in `JobSpec.submitted`
 
     def register(self, record: dict[str, Any], record_key: str) -> Job:
         """Return the job of a stored record, whichever controller wrote it; a job that is not
--- a/peathall/leader/context.py
+++ b/peathall/leader/context.py
@@ -1,4 +1,4 @@
-"""The parts of a controller that each of its leaders uses."""
+"""The parts of a controller that it passes to its leader in each term."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         """Whether this controller leads and its leader lease is valid now."""
 
     def step_down(self) -> None:
-        """End the term, since the leader key turned out not to be this controller's any more."""
+        """End the term, since this controller was found not to own the leader key any more."""
 
 
 class ControllerContext(Struct, frozen=True):
--- a/peathall/leader/events.py
+++ b/peathall/leader/events.py
@@ -88,7 +88,7 @@
         self._components.cells.borrower.finish(job)
 
     def accept_conditions(self, job_id: str) -> dict[str, int]:
-        """Required versions of keys for accepting a user's job of that id.
+        """Required versions of keys for accepting a user's job with that id.
 
         They ensure that no borrowed job has the same id.
         """
--- a/peathall/leader/features.py
+++ b/peathall/leader/features.py
@@ -71,7 +71,7 @@
         """Release resources, since the term has ended."""
 
     def accept_conditions(self, job_id: str) -> dict[str, int]:
-        """Required versions of keys for accepting a user's job of that id."""
+        """Required versions of keys for accepting a user's job with that id."""
 
     def note_unplaced(self, plan: Plan) -> None:
         """A scheduling round did not place these tasks."""
--- a/peathall/leader/recovery.py
+++ b/peathall/leader/recovery.py
@@ -91,6 +91,6 @@
         components.image_caches.load(stored.image_caches)
         components.failing_jobs.load(stored.failing_jobs)
         components.autoscaler.mark_deleting(stored.pending_deletions, self._loop.time())
-        # Last: the attempts in them need the jobs, borrowed ones included.
+        # Rounds are loaded last, since their attempts refer to jobs, borrowed ones included.
         components.placement.rounds.load(stored.rounds, self._loop.time())
         components.workers.failover_at = self._loop.time()
--- a/peathall/leader/wiring.py
+++ b/peathall/leader/wiring.py
@@ -63,10 +63,11 @@
             lease_is_valid=leadership.is_leader,
             on_leadership_lost=leadership.step_down,
             # Records of handoffs are deleted within seconds: a transaction that the state service
-            # commits late must not create one again.
+            # applies late must not create one again.
             fence_unknown_outcomes=self._context.operator.cells is not None,
         )
-        # The campaign wrote both keys in one transaction, so they have the same version.
+        # The campaign wrote the leader key and the term in one transaction, so both have the same
+        # version.
         writer.versions[TERM_KEY] = leader_term.record.version
         return writer
 
@@ -132,7 +133,7 @@
         settings = self._context.operator.cells
         if settings is None:
             return None
-        # Imported only if cells are enabled, to save memory in other controllers.
+        # Imported only if cells are enabled, since the import takes memory.
         from peathall.cells.cell_leader import CellEnvironment, CellLeader
 
         return CellLeader(
--- a/peathall/leadership/campaign.py
+++ b/peathall/leadership/campaign.py
@@ -23,7 +23,7 @@
 
 
 class CampaignRequirements(Struct, frozen=True):
-    """Additions to the transaction of a campaign, besides the leader key and the term."""
+    """What a campaign requires and writes in addition to the leader key and the term."""
 
     conditions: dict[str, int]  # required version of each key; 0: the key must not exist
     puts: list[Put] = field(default_factory=list)
@@ -54,11 +54,11 @@
         self.loop = asyncio.get_running_loop()
 
     async def run(self) -> LeaderTerm | None:
-        """Return the new term, or None if the election was lost; StoreError if neither is known.
+        """Return the new term, or None if this controller was not elected.
 
-        After a StoreError the transaction may have been committed. The leader key then names
-        this controller, which revokes the key's lease when it next reads the key. No leader ever
-        acts in that term.
+        Raises StoreError if the outcome is unknown: the transaction may have been committed. If it
+        was, the leader key names this controller, which revokes the key's lease when it next reads
+        the key; no leader acts in that term, and its number is skipped.
         """
         requirements = await self.gate.requirements()
         term_key_value = await self.store.get(TERM_KEY, prioritized=True)
--- a/peathall/leadership/election.py
+++ b/peathall/leadership/election.py
@@ -80,7 +80,7 @@
         )
 
     def step_down(self) -> None:
-        """End the term, since the leader key turned out not to be this controller's any more."""
+        """End the term, since this controller was found not to own the leader key any more."""
         self._stepping_down.set()
 
     async def resign(self, why: str) -> None:
@@ -111,7 +111,8 @@
         leader = msgspec.convert(key_value.value, LeaderRecord) if key_value is not None else None
         if leader is not None and leader.member == self.name:
             # The leader key names this controller, but this process does not lead: the record is
-            # from before a restart, or from a campaign whose response was lost.
+            # from before a restart, or from a campaign whose response was lost. In either case no
+            # process leads in that term.
             log.info(
                 "leadership: revoking the lease of this controller for term %d: this process does"
                 " not lead in it",
--- a/peathall/leadership/lease.py
+++ b/peathall/leadership/lease.py
@@ -43,5 +43,5 @@
 
 
 def first_number_of_term(term: int) -> int:
-    """Where the term's numbers of attempts and handoffs begin; no two terms share a number."""
+    """Start of the term's range of attempt and handoff numbers; no two terms share a number."""
     return term << TERM_SHIFT
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -49,7 +49,7 @@
         self.http = HttpClient(addr)
         self.watch_http = HttpClient(addr)  # separate, since a watch occupies its connection
         self.loop = asyncio.get_running_loop()
-        self.last_response_at = -1e9  # steady time of the last response other than 429 or 503
+        self.last_response_at = -1e9  # monotonic time of the last response other than 429 or 503
         self.failing = False  # the latest request got no response, or 503
 
     def set_leading(self, leading: bool) -> None:
--- a/peathall/store/deferred_writes.py
+++ b/peathall/store/deferred_writes.py
@@ -33,7 +33,8 @@
 
     def __init__(self) -> None:
         self.factories: dict[str, MutationFactory] = {}
-        self._bounded_since: dict[str, float] = {}  # name of a bounded write -> steady time queued
+        # Name of a bounded write -> monotonic time at which it was queued.
+        self._bounded_since: dict[str, float] = {}
 
     def __bool__(self) -> bool:
         return bool(self.factories)
--- a/peathall/store/rate_limits.py
+++ b/peathall/store/rate_limits.py
@@ -65,5 +65,5 @@
             await asyncio.sleep(delay)
 
     def count_unlimited_request(self) -> None:
-        """Count a request that is sent without waiting; later requests wait longer in return."""
+        """Count a request that is sent without waiting, so later requests wait longer."""
         self.requests.force_spend(1, self.loop.time())
--- a/peathall/store/token_bucket.py
+++ b/peathall/store/token_bucket.py
@@ -45,6 +45,6 @@
         return self.level - self.burst / 2
 
     def force_spend(self, amount: float, now: float) -> None:
-        """Take tokens even if there are too few; later requests wait longer in return."""
+        """Take tokens even if there are too few, so later requests wait longer."""
         self._refill(now)
         self.level -= amount
--- a/peathall/store/transaction.py
+++ b/peathall/store/transaction.py
@@ -33,7 +33,8 @@
     batch: list[Mutation]
     ops: list[Put | Delete]
     conditions: dict[str, int]  # key -> version; 0: no such record
-    outcome_unknown: bool = False  # an attempt got no response: applied already, later or never
+    # An attempt got no response: it may have been applied, or may still be.
+    outcome_unknown: bool = False
     refused: bool = False  # an attempt was refused, and that is logged
     rate_refusals: int = 0  # attempts that exceeded the rate limit
 
--- a/peathall/store/writer.py
+++ b/peathall/store/writer.py
@@ -1,9 +1,9 @@
 """Writer of the leader or of a duty holder: group commit with one transaction in flight.
 
 Mutations that arrive during a commit go into the next transaction, so batches grow with the load.
-Every transaction is conditional on the versions of the guard key and of the records that it
-writes. After a commit with unknown outcome nothing else is written until the outcome is known
-(see `committer`).
+Every transaction is conditional on the versions of the guard key, of the records that it writes,
+and of those that its mutations name as conditions. After a commit with unknown outcome nothing else
+is written until the outcome is known (see `committer`).
 """
 
 from __future__ import annotations
