--- a/peathall/http/__init__.py
+++ b/peathall/http/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 server, client and admission of requests; knows nothing of the protocol above it."""
+"""HTTP/1.1 server, client and request queue; independent of the messages that they carry."""
--- a/peathall/http/client.py
+++ b/peathall/http/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client with pooled connections on asyncio protocols and httptools."""
+"""HTTP/1.1 client with a connection pool, based on asyncio protocols and httptools."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
         self.idle_since = 0.0  # loop time
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """asyncio: connected."""
+        """asyncio: the connection is established."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection is gone."""
+        """asyncio: the connection is closed."""
         self.closed = True
         self._fail("connection lost")
 
@@ -67,8 +67,8 @@
             self.response.set_result((self.parser.get_status_code(), b"".join(self.body)))
 
     def send(self, data: bytes) -> asyncio.Future[tuple[int, bytes]]:
-        """Send an encoded request. The future gives status and body of the response, or
-        NoAnswerError."""
+        """Send an encoded request. The future's result is status and body of the response; its
+        exception is NoAnswerError."""
         assert self.transport is not None
         self.parser = httptools.HttpResponseParser(self)
         self.body = []
@@ -77,18 +77,18 @@
         return self.response
 
     def abort(self) -> None:
-        """End the connection at once; whatever is in flight fails through `connection_lost`."""
+        """Close the connection at once; `connection_lost` then fails a request in flight."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
 
 
 class HttpClient:
-    """Requests to one address over a pool of connections, one request at a time on each.
+    """Client for one address, with a pool of connections that each carry one request at a time.
 
-    `keep` is the number of idle connections that are kept for later requests. `may_send` is asked
-    again right before a request is written: connecting takes time, and a leader whose lease has
-    expired meanwhile must not send any more. There is no limit for requests in flight.
+    At most `keep` idle connections are kept for later requests. `may_send` is called right
+    before a request is written: connecting takes time, and a leader whose lease has expired
+    meanwhile must not send. The number of requests in flight is not limited.
     """
 
     def __init__(
@@ -128,8 +128,9 @@
     async def request(
         self, method: str, path: str, body: bytes = b"", timeout: float = 5.0
     ) -> tuple[int, bytes]:
-        """Status and body of the response. `timeout` (s) holds for connecting, which has a limit of
-        its own as well, and again for the response. NoAnswerError if there is none."""
+        """Send a request; status and body of the response, or NoAnswerError if there is none.
+        `timeout` (s) applies to connecting, which `constants.CONNECT_S` limits as well, and once
+        more to the response."""
         self.in_flight += 1
         try:
             return await self._request(method, path, body, timeout)
@@ -154,7 +155,7 @@
             connection.abort()
             raise NoAnswerError(f"no answer from {self.addr}", sent=True) from None
         except BaseException:
-            # Cancellation too: the response may still come, and must not answer a later request.
+            # Cancellation as well: a late response must not be taken for that of a later request.
             connection.abort()
             raise
         if connection.reusable and not connection.closed and len(self.idle) < self.keep:
@@ -165,8 +166,8 @@
         return response
 
     def close(self) -> None:
-        """Close the idle connections. One with a request in flight stays open until it has its
-        response, and is then pooled as usual."""
+        """Close the idle connections. A connection with a request in flight stays open until the
+        response has arrived, and is then pooled as usual."""
         for connection in self.idle:
             connection.abort()
         self.idle.clear()
--- a/peathall/http/message.py
+++ b/peathall/http/message.py
@@ -4,7 +4,7 @@
 
 from http import HTTPStatus
 
-# Not HTTPStatus.phrase: it differs between versions of Python (422), and the bytes must not.
+# HTTPStatus.phrase differs between Python versions (422); the bytes of a response must not.
 REASONS: dict[int, str] = {
     HTTPStatus.OK: "OK",
     HTTPStatus.CREATED: "Created",
@@ -20,18 +20,18 @@
     HTTPStatus.GATEWAY_TIMEOUT: "Gateway Timeout",
 }
 
-# With plain numbers as keys: most responses come with them, and the lookup is faster.
+# Keys are plain ints, as most responses have them: the lookup is faster than with HTTPStatus.
 _STATUS_LINES = {int(status): f"HTTP/1.1 {status:d} {REASONS[status]}" for status in REASONS}
 
 
 class Request:
-    """A request as it was received."""
+    """A received request."""
 
     __slots__ = ("body", "method", "path", "query")
 
     def __init__(self, method: str, path: str, query: str, body: bytes) -> None:
         self.method = method
-        self.path = path  # without the query, and with its percent-encoding decoded
+        self.path = path  # without the query, percent-decoded
         self.query = query  # as received
         self.body = body
 
@@ -52,11 +52,11 @@
         self.status = status  # an HTTPStatus or its number
         self.body = body
         self.content_type = content_type
-        self.retry_after = retry_after  # s, after which the client may repeat its request
-        self.close = close  # the connection ends with this response
+        self.retry_after = retry_after  # s until the client may repeat its request
+        self.close = close  # the connection is closed after this response
 
     def encode(self) -> bytes:
-        """The bytes on the wire."""
+        """The bytes that are sent."""
         status_line = _STATUS_LINES.get(self.status) or f"HTTP/1.1 {self.status:d} Status"
         head = (
             f"{status_line}\r\n"
--- a/peathall/http/request_queue.py
+++ b/peathall/http/request_queue.py
@@ -16,9 +16,9 @@
     """Classes of requests in order of precedence. Health checks and the pings of other controllers
     are not queued."""
 
-    HEARTBEAT = 0  # without a response in time a worker's lease expires, and its tasks are lost
+    HEARTBEAT = 0  # without a response a worker's lease expires, and its tasks are lost
     WRITE = 1  # a submission or a cancellation
-    QUERY = 2  # a question for the status of a job
+    QUERY = 2  # a query of a job's status
 
 
 MAX_WAIT_S = {
@@ -27,7 +27,7 @@
     RequestClass.QUERY: constants.QUERY_QUEUE_S,
 }
 
-# Heartbeats get every second slot; an empty class leaves its slot to the first that is not empty.
+# Heartbeats get every second slot. The slot of an empty queue goes to the first non-empty queue.
 SLOT_CYCLE = (
     RequestClass.HEARTBEAT,
     RequestClass.WRITE,
@@ -37,26 +37,26 @@
 
 
 class QueuedRequest(Struct):
-    """A request that waits for its admission."""
+    """A request that waits for admission."""
 
     admission: asyncio.Future[bool]
-    deadline: float  # loop time from which its sender does not wait any more
+    deadline: float  # loop time after which its sender no longer waits for a response
 
 
 class RequestQueue:
-    """Admits one request for each pass of the event loop while any are queued, so that whatever
-    else is due, above all the renewal of the leader lease, runs between two of them and not behind
-    all of them. A request that arrives while none is queued is admitted without a wait."""
+    """Admits one request per iteration of the event loop, so that other due callbacks, above all
+    the renewal of the leader lease, run between two requests instead of after all of them. The
+    first request of an iteration in which none is queued is admitted at once."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
         self.queues: list[deque[QueuedRequest]] = [deque() for _ in RequestClass]
-        self.slot_taken = False  # a request was admitted in this pass of the event loop
+        self.slot_taken = False  # a request was admitted in this iteration of the event loop
         self.slots = cycle(SLOT_CYCLE)
 
     async def admit(self, request_class: RequestClass) -> bool:
         """Wait until the request may be handled. False if its maximum wait has passed: its sender
-        has given up, and handling it would only delay others."""
+        has timed out, and handling it would only delay others."""
         if not self.slot_taken:
             self.slot_taken = True
             self.loop.call_soon(self._admit_next)
@@ -67,7 +67,7 @@
         return await admission
 
     def _admit_next(self) -> None:
-        """Once per pass of the event loop, from the first admission until all queues are empty."""
+        """Runs once per loop iteration, from the first admission until all queues are empty."""
         self._drop_expired()
         self.slot_taken = any(self.queues)
         if self.slot_taken:
@@ -76,7 +76,7 @@
             self.loop.call_soon(self._admit_next)
 
     def _drop_expired(self) -> None:
-        """Drop from the heads of the queues what has waited too long, or whose handler was
+        """Drop requests at the heads of the queues whose deadline has passed or whose handler was
         cancelled."""
         now = self.loop.time()
         for queue in self.queues:
--- a/peathall/http/server.py
+++ b/peathall/http/server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server on asyncio protocols and httptools."""
+"""HTTP/1.1 server based on asyncio protocols and httptools."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 log = logging.getLogger("peathall.http")
 
-MAX_HEADERS = 16 * 1024  # bytes; beside the body of the largest request
+MAX_HEADERS_BYTES = 16 * 1024  # of request line and headers, in addition to the largest body
 
 Handler = Callable[[Request], Awaitable[Response]]
 
@@ -31,10 +31,10 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """The connection of one client. An invalid request ends it, and affects no other.
+    """A connection from one client. An invalid request closes it, and affects no other connection.
 
-    A handler runs to its end even if the client disconnects: a submission that is half committed
-    is completed. Its task is referenced by this connection, and ends with the handler.
+    A handler runs to its end even if the client disconnects, so that a submission which is partly
+    committed is completed. The connection references the handler's task.
     """
 
     def __init__(self, server: HttpServer) -> None:
@@ -47,7 +47,7 @@
         self.url = b""
         self.body: list[bytes] = []
         self.size = 0  # bytes of the request so far, headers included
-        self.pipelined: list[bytes] = []  # received while the handler runs
+        self.pipelined: list[bytes] = []  # data received while the handler runs
 
     def _enter(self, phase: ConnectionPhase) -> None:
         if self.phase is not ConnectionPhase.CLOSED:
@@ -62,12 +62,12 @@
         self.server.register(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """asyncio: the connection is gone."""
+        """asyncio: the connection is closed."""
         self._enter(ConnectionPhase.CLOSED)
         self.server.connections.pop(self, None)
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -76,8 +76,8 @@
         if self.phase is ConnectionPhase.CLOSED:
             return
         if self.phase is ConnectionPhase.SERVING:
-            # Our clients do not pipeline; one that does is served in order, within the size of
-            # one request.
+            # Clients usually do not pipeline. Pipelined requests are served in order; their total
+            # size is limited like that of one body.
             self.pipelined.append(data)
             if sum(map(len, self.pipelined)) > constants.MAX_BODY:
                 self.close()
@@ -85,7 +85,7 @@
         if self.phase is ConnectionPhase.IDLE:
             self._enter(ConnectionPhase.READING)
         self.size += len(data)
-        if self.size > constants.MAX_BODY + MAX_HEADERS:
+        if self.size > constants.MAX_BODY + MAX_HEADERS_BYTES:
             self._reject(HTTPStatus.BAD_REQUEST)
             return
         try:
@@ -130,8 +130,12 @@
             try:
                 response = await self.server.handler(request)
             except Exception:
-                # Last line of defence: a fault in a handler fails its own request only.
-                log.exception("request %s %s failed", request.method, request.path)
+                # Catches every exception: a fault in a handler must fail its own request only.
+                log.exception(
+                    "handler of request %s %s failed, responding with status 500",
+                    request.method,
+                    request.path,
+                )
                 response = Response(HTTPStatus.INTERNAL_SERVER_ERROR)
         if not keep_alive:
             response.close = True
@@ -150,19 +154,19 @@
 
 
 class HttpServer:
-    """Listens on one address. Closes idle and slow connections, so that they do not use up the
-    sockets; beyond `max_connections` the one that has been idle for longest is closed."""
+    """Server on one address. It closes idle and slow connections, so that they do not exhaust the
+    sockets, and beyond `max_connections` the connection that has been inactive for longest."""
 
     def __init__(self, handler: Handler, max_connections: int) -> None:
         self.handler = handler
         self.max_connections = max_connections
-        self.connections: dict[ServerConnection, None] = {}  # a set in order of arrival
+        self.connections: dict[ServerConnection, None] = {}  # an ordered set, oldest first
         self.loop = asyncio.get_running_loop()
         self._server: asyncio.Server | None = None
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen on the address; OSError if that is not possible."""
+        """Listen on the address; OSError if that fails."""
         self._server = await self.loop.create_server(
             lambda: ServerConnection(self),
             host,
@@ -175,18 +179,18 @@
 
     @property
     def port(self) -> int:
-        """The port that it listens on."""
+        """The port that the server listens on."""
         assert self._server is not None
         return int(self._server.sockets[0].getsockname()[1])
 
     @property
     def near_limit(self) -> bool:
-        """Few connections are left: clients that can cheaply reconnect should not keep theirs."""
+        """Few connections are left: clients that can reconnect cheaply should close theirs."""
         return len(self.connections) > constants.NEAR_LIMIT_SHARE * self.max_connections
 
     def register(self, connection: ServerConnection) -> None:
-        """Count a new connection. Beyond the limit, that which is longest in its phase is closed,
-        unless its request is being served."""
+        """Add a new connection. Beyond the limit, close the connection that has been in its phase
+        for longest; those whose request is being served are spared."""
         self.connections[connection] = None
         if len(self.connections) > self.max_connections:
             evictable = [x for x in self.connections if x.phase is not ConnectionPhase.SERVING]
@@ -195,7 +199,7 @@
             oldest.close()
 
     def _sweep(self) -> None:
-        """Close idle and slow connections, again and again by a timer that `close` cancels."""
+        """Close idle and slow connections, and start the timer of the next sweep."""
         now = self.loop.time()
         for connection in list(self.connections):
             age = now - connection.phase_since
@@ -206,7 +210,7 @@
         self._sweep_timer = self.loop.call_later(constants.CONNECTION_SWEEP_S, self._sweep)
 
     def close(self) -> None:
-        """Stop listening, and end all connections at once."""
+        """Stop listening, and close all connections at once."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         if self._server is not None:
--- a/peathall/peers/client.py
+++ b/peathall/peers/client.py
@@ -1,4 +1,4 @@
-"""The other controllers, as this one reaches them: pings, and requests that are sent to them."""
+"""Client for the other controllers of the deployment: pings and requests."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 
 class PeerView:
-    """One other controller: its connections, and what its latest ping response said."""
+    """One other controller: its connections, and the content of its latest ping response."""
 
     __slots__ = ("client", "is_leader", "last_response_at", "peer", "redirected")
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
         self.client = HttpClient(peer.addr, "application/json", keep=8)
-        self.last_response_at = -1e9  # loop time; long ago until the first response
+        self.last_response_at = -1e9  # loop time; far in the past until the first response
         self.redirected: dict[str, HeartbeatOrder] = {}
         self.is_leader = False
 
 
 class Peers:
-    """Pings the other controllers, and sends requests to them."""
+    """Pings the other controllers and sends requests to them."""
 
     def __init__(self, peers: list[Peer], is_leader: Callable[[], bool]) -> None:
         self.is_leader = is_leader  # whether this controller is the leader now
@@ -45,7 +45,7 @@
     # --- requests ------------------------------------------------------------
     async def send(self, name: str, path: str, raw: bytes, timeout: float) -> tuple[int, bytes]:
         """POST a request to a peer; status and body of its response, or NoAnswerError if there is
-        none within `timeout` seconds."""
+        no response within `timeout` seconds."""
         view = self.views.get(name)
         if view is None:
             raise NoAnswerError(f"{name} is no controller known here", sent=False)
@@ -57,7 +57,7 @@
         """Forward a user's request to the leader `name`.
 
         NoAnswerError if there is no response within `timeout` seconds. A leader that responds to
-        other requests meanwhile is alive but busy, and has up to `busy_timeout` seconds.
+        other requests meanwhile is alive but busy: the limit is then `busy_timeout` seconds.
         """
         view = self.views.get(name)
         if view is None:
@@ -73,7 +73,7 @@
                     raise NoAnswerError(f"no answer from {name}", sent=True)
                 checked_at = self.loop.time()
         finally:
-            response.cancel()  # does nothing once it is complete
+            response.cancel()  # has no effect once it is complete
         status, raw = response.result()
         view.last_response_at = self.loop.time()
         try:
@@ -83,14 +83,14 @@
 
     # --- pings ---------------------------------------------------------------
     async def ping_all(self) -> None:
-        """Ping every peer each `constants.PING_S` seconds. Never returns."""
+        """Ping every peer every `constants.PING_S` seconds. Never returns."""
         while True:
             await asyncio.gather(*(self._ping(view) for view in self.views.values()))
             await asyncio.sleep(constants.PING_S)
 
     async def _ping(self, view: PeerView) -> None:
         try:
-            # Only the leader needs to know which workers reach other controllers.
+            # Only the leader uses the list of workers that reach other controllers.
             path = f"{PING_PATH}?{REDIRECTED_QUERY}" if self.is_leader() else PING_PATH
             _, raw = await view.client.request("GET", path, b"", constants.PING_S)
             response = messages.decode(raw, PingResponse)
@@ -106,12 +106,12 @@
         return any(now - view.last_response_at < within_s for view in self.views.values())
 
     def leading(self) -> str | None:
-        """The peer whose latest ping response said that it is the leader."""
+        """Name of the peer whose latest ping response said that it is the leader."""
         return next((view.peer.name for view in self.views.values() if view.is_leader), None)
 
     def heartbeats_elsewhere(self, now: float) -> dict[str, HeartbeatOrder]:
-        """Workers that are alive since their heartbeats have reached another controller, with the
-        latest of these."""
+        """Workers whose heartbeats have recently reached another controller, with the latest of
+        these heartbeats. Such a worker is alive."""
         found: dict[str, HeartbeatOrder] = {}
         for view in self.views.values():
             if now - view.last_response_at < 3 * constants.PING_S:
--- a/peathall/peers/messages.py
+++ b/peathall/peers/messages.py
@@ -1,7 +1,7 @@
 """Messages between controllers, in JSON.
 
-Controllers of different versions exchange them during an upgrade, so that the names on the wire
-stay as they are: the field and tag names below are the only place that spells them.
+During an upgrade controllers of different versions exchange these messages. The names on the wire,
+which are the field and tag names below, must therefore not change.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 PING_PATH = "/ping"
 FORWARD_PATH = "/forward"
 
-# The query of a ping that asks for the redirected workers as well.
+# Query string of a ping that requests the redirected workers as well.
 REDIRECTED_QUERY = "knocks"
 
 # Epoch and sequence of a heartbeat: a later heartbeat of the same worker compares greater.
@@ -27,22 +27,22 @@
 
 
 class MalformedMessageError(Exception):
-    """A body is not the message that was expected."""
+    """A body is not a message of the expected type."""
 
 
 class PeerResponse(NamedTuple):
-    """An answer between controllers: HTTP status, and the value of its JSON body."""
+    """A response between controllers: HTTP status, and the value of its JSON body."""
 
     status: int
     value: Any
 
 
 class PingResponse(Struct, frozen=True, omit_defaults=True):
-    """The answer to a ping."""
+    """The response to a ping."""
 
     is_leader: bool = field(name="leads")
-    # Workers that were redirected to the leader lately, with their latest heartbeat; None if the
-    # ping did not ask for them.
+    # Workers that were recently redirected to the leader, with their latest heartbeat; None if the
+    # ping did not request them.
     redirected: dict[str, HeartbeatOrder] | None = field(name=REDIRECTED_QUERY, default=None)
 
 
@@ -53,7 +53,7 @@
 
 
 class QueryRequest(Struct, frozen=True, tag_field="op", tag="query"):
-    """Tell the status of a job."""
+    """Query the status of a job."""
 
     job_id: str = field(name="id")
 
@@ -64,17 +64,17 @@
     job_id: str = field(name="id")
 
 
-# What a follower forwards to the leader for a user.
+# A user's request, as a follower forwards it to the leader.
 JobRequest = AcceptRequest | QueryRequest | CancelRequest
 
 
 def encode(message: Struct) -> bytes:
-    """The message as it is sent."""
+    """Encode a message."""
     return orjson.dumps(msgspec.to_builtins(message))
 
 
 def decode(raw: bytes, message_type: type[M]) -> M:
-    """A message that was received; MalformedMessageError if it is not of this type."""
+    """Decode a message; MalformedMessageError if it is not of this type."""
     try:
         return msgspec.convert(orjson.loads(raw), message_type)
     except (orjson.JSONDecodeError, msgspec.ValidationError) as exc:
@@ -82,14 +82,14 @@
 
 
 def decode_job_request(raw: bytes) -> JobRequest:
-    """A forwarded request; MalformedMessageError if it is none."""
-    # mypy has no type for a union that is passed as a value.
+    """Decode a forwarded request; MalformedMessageError if the body is not one."""
+    # mypy cannot type a union that is passed as a value.
     request: JobRequest = decode(raw, JobRequest)  # type: ignore[arg-type]
     return request
 
 
 def decode_value(raw: bytes) -> Any:
-    """The value of an answer whose form its reader knows; MalformedMessageError if not JSON."""
+    """Decode a body that the caller interprets itself; MalformedMessageError if not JSON."""
     try:
         return orjson.loads(raw)
     except orjson.JSONDecodeError as exc:
--- a/peathall/peers/server.py
+++ b/peathall/peers/server.py
@@ -1,4 +1,4 @@
-"""Requests of the other controllers: pings, forwarded requests, and those of optional features."""
+"""Server for the other controllers: pings, forwarded requests, routes of optional features."""
 
 from __future__ import annotations
 
@@ -21,19 +21,19 @@
 )
 from peathall.peers.redirected_workers import RedirectedWorkers
 
-# Serves a request that another controller has forwarded; status and value of its answer.
+# Handles a forwarded request; returns status and body value of the response.
 ForwardedHandler = Callable[[JobRequest], Awaitable[tuple[int, Any]]]
 
 
 class FeatureRoutes(Protocol):
-    """Requests that belong to one optional feature."""
+    """Routes of one optional feature."""
 
     async def serve(self, path: str, raw: bytes) -> PeerResponse | None:
-        """The answer; None if the path does not belong to the feature, or the feature is off."""
+        """The response; None if the path does not belong to the feature, or the feature is off."""
 
 
 class PeerServer:
-    """Serves the requests that arrive at the address for other controllers."""
+    """Serves requests that arrive at the address for other controllers."""
 
     def __init__(
         self,
@@ -51,24 +51,24 @@
     async def serve(self, request: Request) -> Response:
         """The response to a request."""
         if request.method == "GET" and request.path == PING_PATH:
-            return self._ping(request)
+            return self._handle_ping(request)
         if request.method == "POST" and request.path == FORWARD_PATH:
-            return await self._forwarded(request)
+            return await self._handle_forwarded(request)
         for feature in self.features:
-            answer = await feature.serve(request.path, request.body)
-            if answer is not None:
-                return json_response(*answer)
+            response = await feature.serve(request.path, request.body)
+            if response is not None:
+                return json_response(*response)
         return json_response(404, None)
 
-    def _ping(self, request: Request) -> Response:
-        asks_for_redirected = request.query == REDIRECTED_QUERY
+    def _handle_ping(self, request: Request) -> Response:
+        redirected_requested = request.query == REDIRECTED_QUERY
         response = PingResponse(
             self.is_leader(),
-            self.redirected.recent(self.loop.time()) if asks_for_redirected else None,
+            self.redirected.recent(self.loop.time()) if redirected_requested else None,
         )
         return Response(200, messages.encode(response), "application/json")
 
-    async def _forwarded(self, request: Request) -> Response:
+    async def _handle_forwarded(self, request: Request) -> Response:
         try:
             job_request = messages.decode_job_request(request.body)
         except MalformedMessageError:
@@ -77,5 +77,5 @@
 
 
 def json_response(status: int, value: Any) -> Response:
-    """A response between controllers."""
+    """A response to another controller."""
     return Response(status, orjson.dumps(value), "application/json")
