--- a/peathall/cells/client.py
+++ b/peathall/cells/client.py
@@ -75,7 +75,7 @@
 
     async def user_request(self, request: UserRequest) -> UserResponse:
         """Its response to a user; CellError without one."""
-        return await self._request(USER_PATH, request, UserResponse, constants.FORWARD_S)
+        return await self._request(USER_PATH, request, UserResponse, constants.FORWARD_TIMEOUT_S)
 
     async def _request(
         self, path: str, message: msgspec.Struct, kind: type[ResponseType], timeout: float
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -6,24 +6,24 @@
 """
 
 # --- HTTP ---------------------------------------------------------------------------------------
-MAX_BODY = 64 * 1024  # bytes; the protocol's limit for request bodies
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for request bodies
 # Users poll every 5 s and workers send heartbeats every 3 s: a longer idle connection is abandoned.
-IDLE_CONNECTION_S = 40.0
-SLOW_REQUEST_S = 10.0  # for receiving a request: longer means a slow or broken client
-CONNECTION_SWEEP_S = 5.0  # interval of the one timer that closes idle and slow connections
+IDLE_CONNECTION_TIMEOUT_S = 40.0
+REQUEST_RECEIVE_TIMEOUT_S = 10.0  # only slow or broken clients take longer to send a request
+CONNECTION_SWEEP_INTERVAL_S = 5.0  # one timer closes all idle and slow connections
 CALLER_SOCKET_SHARE = 0.75  # of the socket limit, for connections from workers and users
 # Share of these connections in use: above it workers' connections close after each response.
-NEAR_LIMIT_SHARE = 0.85
+NEAR_CONNECTION_LIMIT_SHARE = 0.85
 PEER_SOCKET_SHARE = 0.1  # of the socket limit, for connections from other controllers
 # Of the socket limit, for direct commands to workers. The rest is for other outgoing requests.
 DIRECT_COMMAND_SOCKET_SHARE = 0.1
-CONNECT_S = 1.0  # timeout: across a network partition connecting hangs without an error
-POOL_IDLE_S = 20.0  # a connection that was idle for longer is not reused
+CONNECT_TIMEOUT_S = 1.0  # connecting across a network partition hangs without an error
+POOL_MAX_IDLE_S = 20.0  # a pooled connection that was idle for longer is not reused
 
 # --- request queue: maximum wait for admission under overload ------------------------------------
-HEARTBEAT_QUEUE_S = 3.0  # a worker waits 4 s for the response
-WRITE_QUEUE_S = 3.5  # a user waits 5 s for the response to a submission or cancellation
-QUERY_QUEUE_S = 1.2  # a user waits 2 s for the response to a poll
+HEARTBEAT_QUEUE_TIMEOUT_S = 3.0  # a worker waits 4 s for the response
+WRITE_QUEUE_TIMEOUT_S = 3.5  # a user waits 5 s for the response to a submission or cancellation
+QUERY_QUEUE_TIMEOUT_S = 1.2  # a user waits 2 s for the response to a poll
 
 # --- state service ------------------------------------------------------------------------------
 STORE_TIMEOUT_S = 1.5  # responses take 10 ms, occasionally a few hundred
@@ -180,19 +180,20 @@
 IDLE_STARTUP_TIMES = 1.0
 
 # --- peers --------------------------------------------------------------------------------------
-FORWARD_S = 1.2  # a user waits 2 s for a query: the state service can still be read after this
+# A user waits 2 s for a query, so that the state service can still be read after this timeout.
+FORWARD_TIMEOUT_S = 1.2
 # Timeout of a forwarded submission while the leader responds to nothing: creating the job in the
 # state service directly is as good, and faster.
-FORWARD_ACCEPT_S = 0.1
-ACCEPT_S = 1.5  # a commit usually takes 10 ms; after this the response is 503 with Retry-After
+FORWARD_ACCEPT_TIMEOUT_S = 0.1
+ACCEPT_TIMEOUT_S = 1.5  # a commit usually takes 10 ms; then the response is 503 with Retry-After
 RETRY_AFTER_S = 1  # value of Retry-After in responses with status 429, 503 or 504
-FOLLOWER_READ_S = 0.7  # timeout of a follower's store access, which leaves time to respond
+FOLLOWER_TIMEOUT_S = 0.7  # access to the state service without a leader; leaves time to respond
 STORE_FRESH_S = 8.0  # a working watch gets a response at least this often, see WATCH_HOLD_S
 PEER_FRESH_S = 4.0  # without a response of any peer for this long, peers count as unreachable
-PING_S = 1.5  # interval between pings to each peer, and their timeout
-REDIRECTED_S = 6.0  # a follower reports a redirected heartbeat to the leader for this long
-HEARTBEAT_ORDER_MEMORY_S = 120.0  # for this long delayed copies of heartbeats are recognised
-JUST_STARTED_S = 6.0  # after its start a controller passes health checks for this long
+PING_INTERVAL_S = 1.5  # between pings to each peer; also their timeout
+REDIRECTED_MAX_AGE_S = 6.0  # a follower reports a redirected heartbeat to the leader for this long
+HEARTBEAT_ORDER_RETENTION_S = 120.0  # for this long delayed copies of heartbeats are recognised
+STARTUP_GRACE_S = 6.0  # after its start a controller passes health checks for this long
 
 # --- duties -------------------------------------------------------------------------------------
 DUTY_RENEWALS = 5.0  # attempts to renew that fit into one lease on a duty
--- a/peathall/controller/controller.py
+++ b/peathall/controller/controller.py
@@ -193,7 +193,7 @@
     async def _resign_while_unreachable(self) -> None:
         """As leader: resign if the workers can't reach this controller, but do reach others."""
         while True:
-            await asyncio.sleep(constants.PING_S)
+            await asyncio.sleep(constants.PING_INTERVAL_S)
             leader, now = self.leader, self.loop.time()
             if leader is None or not leader.is_active():
                 continue
--- a/peathall/controller/health.py
+++ b/peathall/controller/health.py
@@ -32,6 +32,6 @@
     def response(self) -> Response:
         """The response to a health check: 503 while isolated, except right after the start, when
         there was no time yet to contact anybody."""
-        just_started = self._loop.time() - self._started_at < constants.JUST_STARTED_S
+        just_started = self._loop.time() - self._started_at < constants.STARTUP_GRACE_S
         healthy = just_started or not self.is_isolated()
         return Response(HTTPStatus.OK if healthy else HTTPStatus.SERVICE_UNAVAILABLE)
--- a/peathall/controller/job_requests.py
+++ b/peathall/controller/job_requests.py
@@ -64,10 +64,10 @@
     async def _forward(self, leader_name: str, request: JobRequest) -> JobResponse | None:
         """The leader's answer; None if it gave none, or is not able to serve."""
         accepts = isinstance(request, AcceptRequest)
-        timeout = constants.FORWARD_ACCEPT_S if accepts else constants.FORWARD_S
+        timeout = constants.FORWARD_ACCEPT_TIMEOUT_S if accepts else constants.FORWARD_TIMEOUT_S
         try:
             status, value = await self._peers.forward(
-                leader_name, request, timeout, constants.ACCEPT_S
+                leader_name, request, timeout, constants.ACCEPT_TIMEOUT_S
             )
         except NoAnswerError as exc:
             log.debug("job request not forwarded to leader %s: %s", leader_name, exc)
@@ -83,7 +83,7 @@
         else:
             return RETRY_LATER  # only a leader can cancel: it keeps the job in memory
         try:
-            return await asyncio.wait_for(response, constants.FOLLOWER_READ_S)
+            return await asyncio.wait_for(response, constants.FOLLOWER_TIMEOUT_S)
         except (StoreError, TimeoutError) as exc:
             log.debug("job request not answered from the state service: %s", exc)
             return RETRY_LATER
--- a/peathall/controller/peer_routes.py
+++ b/peathall/controller/peer_routes.py
@@ -76,7 +76,9 @@
         if leader_name is None:
             return PeerResponse(HTTPStatus.SERVICE_UNAVAILABLE, encode_error("nobody leads"))
         try:
-            status, answer = await self._peers.send(leader_name, path, raw, constants.FORWARD_S)
+            status, answer = await self._peers.send(
+                leader_name, path, raw, constants.FORWARD_TIMEOUT_S
+            )
             return PeerResponse(status, messages.decode_value(answer))
         except (NoAnswerError, MalformedMessageError) as exc:
             return PeerResponse(HTTPStatus.SERVICE_UNAVAILABLE, encode_error(str(exc)))
--- a/peathall/http/client.py
+++ b/peathall/http/client.py
@@ -113,7 +113,7 @@
         now = loop.time()
         while self.idle:
             connection = self.idle.pop()
-            if not connection.closed and now - connection.idle_since < constants.POOL_IDLE_S:
+            if not connection.closed and now - connection.idle_since < constants.POOL_MAX_IDLE_S:
                 return connection
             connection.abort()
         try:
@@ -129,8 +129,8 @@
         self, method: str, path: str, body: bytes = b"", timeout: float = 5.0
     ) -> tuple[int, bytes]:
         """Send a request; status and body of the response, or NoAnswerError if there is none.
-        `timeout` (s) applies to connecting, which `constants.CONNECT_S` limits as well, and once
-        more to the response."""
+        `timeout` (s) applies to connecting, which `constants.CONNECT_TIMEOUT_S` limits as well, and
+        once more to the response."""
         self.in_flight += 1
         try:
             return await self._request(method, path, body, timeout)
@@ -144,7 +144,7 @@
             f"{method} {path} HTTP/1.1\r\nHost: {self.addr}\r\n"
             f"Content-Type: {self.content_type}\r\nContent-Length: {len(body)}\r\n\r\n"
         )
-        connection = await self._connect(min(constants.CONNECT_S, timeout))
+        connection = await self._connect(min(constants.CONNECT_TIMEOUT_S, timeout))
         if not self.may_send():
             # The process may have been suspended since the caller checked its lease.
             connection.abort()
--- a/peathall/http/request_queue.py
+++ b/peathall/http/request_queue.py
@@ -22,9 +22,9 @@
 
 
 MAX_WAIT_S = {
-    RequestClass.HEARTBEAT: constants.HEARTBEAT_QUEUE_S,
-    RequestClass.WRITE: constants.WRITE_QUEUE_S,
-    RequestClass.QUERY: constants.QUERY_QUEUE_S,
+    RequestClass.HEARTBEAT: constants.HEARTBEAT_QUEUE_TIMEOUT_S,
+    RequestClass.WRITE: constants.WRITE_QUEUE_TIMEOUT_S,
+    RequestClass.QUERY: constants.QUERY_QUEUE_TIMEOUT_S,
 }
 
 # Heartbeats get every second slot. The slot of an empty queue goes to the first non-empty queue.
--- a/peathall/http/server.py
+++ b/peathall/http/server.py
@@ -79,13 +79,13 @@
             # Clients usually do not pipeline. Pipelined requests are served in order; their total
             # size is limited like that of one body.
             self.pipelined.append(data)
-            if sum(map(len, self.pipelined)) > constants.MAX_BODY:
+            if sum(map(len, self.pipelined)) > constants.MAX_BODY_BYTES:
                 self.close()
             return
         if self.phase is ConnectionPhase.IDLE:
             self._enter(ConnectionPhase.READING)
         self.size += len(data)
-        if self.size > constants.MAX_BODY + MAX_HEADERS_BYTES:
+        if self.size > constants.MAX_BODY_BYTES + MAX_HEADERS_BYTES:
             self._reject(HTTPStatus.BAD_REQUEST)
             return
         try:
@@ -124,7 +124,7 @@
         self.task = self.server.loop.create_task(self._serve(request, keep_alive))
 
     async def _serve(self, request: Request, keep_alive: bool) -> None:
-        if len(request.body) > constants.MAX_BODY:
+        if len(request.body) > constants.MAX_BODY_BYTES:
             response = Response(HTTPStatus.BAD_REQUEST, close=True)
         else:
             try:
@@ -186,7 +186,7 @@
     @property
     def near_limit(self) -> bool:
         """Few connections are left: clients that can reconnect cheaply should close theirs."""
-        return len(self.connections) > constants.NEAR_LIMIT_SHARE * self.max_connections
+        return len(self.connections) > constants.NEAR_CONNECTION_LIMIT_SHARE * self.max_connections
 
     def register(self, connection: ServerConnection) -> None:
         """Add a new connection. Beyond the limit, close the connection that has been in its phase
@@ -203,11 +203,15 @@
         now = self.loop.time()
         for connection in list(self.connections):
             age = now - connection.phase_since
-            if (connection.phase is ConnectionPhase.IDLE and age > constants.IDLE_CONNECTION_S) or (
-                connection.phase is ConnectionPhase.READING and age > constants.SLOW_REQUEST_S
+            if (
+                connection.phase is ConnectionPhase.IDLE
+                and age > constants.IDLE_CONNECTION_TIMEOUT_S
+            ) or (
+                connection.phase is ConnectionPhase.READING
+                and age > constants.REQUEST_RECEIVE_TIMEOUT_S
             ):
                 connection.close()
-        self._sweep_timer = self.loop.call_later(constants.CONNECTION_SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(constants.CONNECTION_SWEEP_INTERVAL_S, self._sweep)
 
     def close(self) -> None:
         """Stop listening, and close all connections at once."""
--- a/peathall/leader/requests.py
+++ b/peathall/leader/requests.py
@@ -57,7 +57,7 @@
         if self._cells.home_of(spec.id):
             # A borrowed job has been accepted already, by its home.
             return await self._cells.ask_home(QUERY, spec.id)
-        return await self._within(self._jobs.accept(spec), constants.ACCEPT_S)
+        return await self._within(self._jobs.accept(spec), constants.ACCEPT_TIMEOUT_S)
 
     async def query(self, job_id: str) -> JobResponse:
         """A query of a job's status."""
@@ -68,7 +68,7 @@
         cached_response = self._jobs.cached_response(job_id)
         if cached_response is not None:
             return cached_response
-        return await self._within(self._jobs.query(job_id), constants.FORWARD_S)
+        return await self._within(self._jobs.query(job_id), constants.FORWARD_TIMEOUT_S)
 
     async def cancel(self, job_id: str) -> JobResponse:
         """A cancellation."""
@@ -76,7 +76,7 @@
             return RETRY_LATER
         if self._cells.home_of(job_id):
             return await self._cells.ask_home(CANCEL, job_id)
-        return await self._within(self._jobs.cancel(job_id), constants.ACCEPT_S)
+        return await self._within(self._jobs.cancel(job_id), constants.ACCEPT_TIMEOUT_S)
 
     def close(self) -> None:
         """The term is over: cancel the requests that are still being carried out."""
--- a/peathall/peers/client.py
+++ b/peathall/peers/client.py
@@ -83,16 +83,16 @@
 
     # --- pings ---------------------------------------------------------------
     async def ping_all(self) -> None:
-        """Ping every peer every `constants.PING_S` seconds. Never returns."""
+        """Ping every peer every `constants.PING_INTERVAL_S` seconds. Never returns."""
         while True:
             await asyncio.gather(*(self._ping(view) for view in self.views.values()))
-            await asyncio.sleep(constants.PING_S)
+            await asyncio.sleep(constants.PING_INTERVAL_S)
 
     async def _ping(self, view: PeerView) -> None:
         try:
             # Only the leader uses the list of workers that reach other controllers.
             path = f"{PING_PATH}?{REDIRECTED_QUERY}" if self.is_leader() else PING_PATH
-            _, raw = await view.client.request("GET", path, b"", constants.PING_S)
+            _, raw = await view.client.request("GET", path, b"", constants.PING_INTERVAL_S)
             response = messages.decode(raw, PingResponse)
         except (NoAnswerError, MalformedMessageError):
             view.redirected, view.is_leader = {}, False
@@ -114,7 +114,7 @@
         these heartbeats. Such a worker is alive."""
         found: dict[str, HeartbeatOrder] = {}
         for view in self.views.values():
-            if now - view.last_response_at < 3 * constants.PING_S:
+            if now - view.last_response_at < 3 * constants.PING_INTERVAL_S:
                 for worker, order in view.redirected.items():
                     found[worker] = max(order, found.get(worker, (0, -1)))
         return found
--- a/peathall/peers/redirected_workers.py
+++ b/peathall/peers/redirected_workers.py
@@ -25,14 +25,14 @@
             self._latest[worker] = (order, now)
 
     def recent(self, now: float) -> dict[str, HeartbeatOrder]:
-        """Workers redirected within `constants.REDIRECTED_S`, with their latest heartbeat."""
+        """Workers redirected in the last `REDIRECTED_MAX_AGE_S`, with their latest heartbeat."""
         for worker, (_, at) in list(self._latest.items()):
-            if now - at > constants.HEARTBEAT_ORDER_MEMORY_S:
+            if now - at > constants.HEARTBEAT_ORDER_RETENTION_S:
                 del self._latest[worker]
         # The number is not limited: the leader would consider a live machine that is missing here
         # silent, and delete it.
         return {
             worker: order
             for worker, (order, at) in self._latest.items()
-            if now - at < constants.REDIRECTED_S
+            if now - at < constants.REDIRECTED_MAX_AGE_S
         }
--- a/peathall/protocol/codec.py
+++ b/peathall/protocol/codec.py
@@ -23,7 +23,7 @@
 
 def decode_cbor_map(body: bytes) -> dict[str, Any]:
     """Decode a body that must be a map with text keys; MalformedError if it is not."""
-    if not body or len(body) > constants.MAX_BODY:
+    if not body or len(body) > constants.MAX_BODY_BYTES:
         raise MalformedError("empty or too large")
     try:
         value = cbor2.loads(body)
--- a/tests/sim/test_http.py
+++ b/tests/sim/test_http.py
@@ -65,10 +65,12 @@
         await asyncio.sleep(1.0)
         assert garbage.data.startswith(b"HTTP/1.1 400")
         assert huge.data.startswith(b"HTTP/1.1 400")
-        await asyncio.sleep(constants.SLOW_REQUEST_S + 2 * constants.CONNECTION_SWEEP_S)
+        await asyncio.sleep(
+            constants.REQUEST_RECEIVE_TIMEOUT_S + 2 * constants.CONNECTION_SWEEP_INTERVAL_S
+        )
         assert slow.closed
         assert not idle.closed
-        await asyncio.sleep(constants.IDLE_CONNECTION_S)
+        await asyncio.sleep(constants.IDLE_CONNECTION_TIMEOUT_S)
         assert idle.closed
         assert await client.request("POST", "/", b"again") == (200, b"again")
 
