--- a/peathall/http/request_queue.py
+++ b/peathall/http/request_queue.py
@@ -16,7 +16,7 @@
     """Classes of requests in order of precedence. Health checks and the pings of other controllers
     are not queued."""
 
-    HEARTBEAT = 0  # without a response a worker's lease expires, and its tasks are lost
+    HEARTBEAT = 0  # without a response in time a worker's lease expires, and its tasks are lost
     WRITE = 1  # a submission or a cancellation
     QUERY = 2  # a query of a job's status
 
--- a/peathall/http/server.py
+++ b/peathall/http/server.py
@@ -34,7 +34,7 @@
     """A connection from one client. An invalid request closes it, and affects no other connection.
 
     A handler runs to its end even if the client disconnects, so that a submission which is partly
-    committed is completed. The connection references the handler's task.
+    committed is completed. The connection references the handler's task to keep it alive.
     """
 
     def __init__(self, server: HttpServer) -> None:
@@ -76,8 +76,8 @@
         if self.phase is ConnectionPhase.CLOSED:
             return
         if self.phase is ConnectionPhase.SERVING:
-            # Clients usually do not pipeline. Pipelined requests are served in order; their total
-            # size is limited like that of one body.
+            # Clients usually do not pipeline. Data that arrives meanwhile is parsed after the
+            # response, and its size is limited like that of one body.
             self.pipelined.append(data)
             if sum(map(len, self.pipelined)) > constants.MAX_BODY_BYTES:
                 self.close()
--- a/peathall/protocol/cloud.py
+++ b/peathall/protocol/cloud.py
@@ -1,7 +1,7 @@
 """API of the cloud provider: machine types, the machine list, provision and deletion requests.
 
 ===============  ==================================================
-name on the wire name in this program
+on the wire      in this program
 ===============  ==================================================
 builds, build    machine types, type
 label            name, of a machine type
--- a/peathall/protocol/heartbeats.py
+++ b/peathall/protocol/heartbeats.py
@@ -1,7 +1,7 @@
 """Heartbeats of workers, and the commands that the leader sends in response.
 
 ===============  ==================================================
-name on the wire name in this program
+on the wire      in this program
 ===============  ==================================================
 hall             machine
 endpoint         addr
--- a/peathall/protocol/jobs.py
+++ b/peathall/protocol/jobs.py
@@ -1,7 +1,7 @@
 """Jobs: submissions, their records in the state service, and responses with their status.
 
 ===============  ==================================================
-name on the wire name in this program
+on the wire      in this program
 ===============  ==================================================
 work             jobs, in paths
 withdraw         cancel, in paths
--- a/peathall/protocol/state_service.py
+++ b/peathall/protocol/state_service.py
@@ -1,20 +1,20 @@
 """Paths, requests and responses of the state service, and the records that they carry.
 
-================  ==================================================
-name on the wire  name in this program
-================  ==================================================
-k                 key
-data              value
-stamp             version, of one key
-epoch             revision, of the whole store
-write             Put
-drop              Delete
-tenancy           lease
-when              conditions
-apply             operations
-news              watch events
-ttl_ms, hold_ms   ttl_s, hold_s
-================  ==================================================
+===============  ==================================================
+on the wire      in this program
+===============  ==================================================
+k                key
+data             value
+stamp            version, of one key
+epoch            revision, of the whole store
+write            Put
+drop             Delete
+tenancy          lease
+when             conditions
+apply            operations
+news             watch events
+ttl_ms, hold_ms  ttl_s, hold_s
+===============  ==================================================
 """
 
 from __future__ import annotations
