--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -53,131 +53,149 @@
 MAX_TXN_BYTES = 48 * 1024  # of one transaction, with a margin to the protocol's 64 KiB
 
 # --- leadership ---------------------------------------------------------------------------------
-LEADER_LEASE_TTL_S = 3.0  # failover waits this long; one slow renewal must not lose leadership
-LEADER_RENEW_S = 0.7  # four attempts to renew fit into one lease
-CLOCK_DRIFT = 0.0005  # part; the steady clocks of two machines differ by up to 0.05%
-LEADER_LEASE_MARGIN_S = 0.3  # a message sent just before expiry must have left by then
-CAMPAIGN_JITTER_S = 0.25  # spreads the candidates, so that the first attempt usually wins
+LEADER_LEASE_TTL_S = 3.0  # failover waits this long; one slow renewal must not lose the lease
+LEADER_RENEW_S = 0.7  # between renewals: four attempts fit into one lease
+CLOCK_DRIFT = 0.0005  # fraction; the monotonic clocks of two machines differ by up to 0.05%
+LEADER_LEASE_MARGIN_S = 0.3  # time for a message to leave that is sent just before expiry
+CAMPAIGN_JITTER_S = 0.25  # at most; spreads the campaigns, so that the first one usually wins
 CAMPAIGN_REFUSED_RETRY_S = 2.0  # between campaigns that fail until operators change a setting
-RESIGN_BACKOFF_S = 25.0  # a leader that workers could not reach does not campaign for this long
-LEADERLESS_BACKOFF_S = 6.0  # ... unless there has been no leader for this long
+# No campaigns for this long after resigning because workers could not reach this controller, or
+# after a term that failed.
+RESIGN_BACKOFF_S = 25.0
+LEADERLESS_BACKOFF_S = 6.0  # the backoff ends early once nobody has led for this long
 
 # --- workers ------------------------------------------------------------------------------------
-LEASE_EXPIRY_MARGIN_S = 1.0  # over the lease and the drift, for late timers of this process
-TICK_S = 1.0  # between checks of leases; capacity is freed at most this much late
-# Heartbeat intervals without a heartbeat: from then on a machine gets no new work.
-SUSPECT_HEARTBEATS = 3.0
-SUSPECT_LEASE = 0.5  # of the worker's lease, if that is less: heartbeats may be far apart
-STALL_S = 3.0  # ticks that are further apart mean that this process was stalled
-# Heartbeat intervals, which vary by a quarter: a machine with replicas that is silent for longer
-# has missed a heartbeat and is probed.
+LEASE_EXPIRY_MARGIN_S = 1.0  # added to lease and clock drift, for late timers of this process
+TICK_S = 1.0  # between checks of leases; capacity of an expired lease is freed at most so late
+# Heartbeat intervals without a heartbeat after which a machine takes no new work.
+UNSCHEDULABLE_HEARTBEATS = 3.0
+# Of the worker's lease, if that is less: a site may set long heartbeat intervals.
+UNSCHEDULABLE_LEASE_SHARE = 0.5
+STALL_S = 3.0  # a longer time between ticks means that this process was stalled
+# Heartbeat intervals of silence after which a machine with replicas has missed a heartbeat and is
+# probed; the intervals vary by a quarter.
 PROBE_AFTER_HEARTBEATS = 1.4
-PROBE_TRIES = 2  # probes without a response, one after the other: then the machine counts as lost
+PROBE_TRIES = 2  # consecutive probes without a response after which the machine counts as lost
 PROBE_TIMEOUT_S = 1.0  # a live machine responds within milliseconds
-# Heartbeat intervals within which most machines must have reported, or this controller may itself
-# be partitioned and no probe counts.
+# Heartbeat intervals within which most machines must have sent a heartbeat. Otherwise this
+# controller may itself be partitioned, and neither begins probes nor uses their results.
 PROBE_RECENT_HEARTBEATS = 1.3
-# Share of the machines that "most" means there: a partitioned zone is mostly more than the rest.
+# Share of the machines that counts as most of them: a partitioned zone usually has more than the
+# rest.
 PROBE_MIN_LIVE_SHARE = 0.7
-# Heartbeat intervals without a heartbeat: then deleting the machine frees its tasks before their
-# lease does.
+# Heartbeat intervals without a heartbeat after which a machine is deleted: that releases its tasks
+# before the worker's lease expires.
 LOST_HEARTBEATS = 5.0
-LOST_LEASE = 0.6  # of the worker's lease, if that is less: later, the lease would expire as soon
-# Share of the machines that neither reach this leader nor receive its responses: it resigns.
+# Of the worker's lease, if that is less: a later deletion would gain no time.
+LOST_LEASE_SHARE = 0.6
+# Share of the machines, unable to reach this leader or to receive its responses, above which it
+# resigns.
 UNREACHABLE_SHARE = 0.5
-# Share of the machines that must be live before silence is blamed on a single machine. One that
-# is alive across a partition of ours sends heartbeats to another controller, which tells us.
+# Share of the machines that must be live before a silent machine counts as lost. A live machine
+# that is partitioned from the leader sends heartbeats to another controller, which reports them.
 MIN_LIVE_SHARE = 0.3
-CERTAIN_LIVE_SHARE = 0.8  # live share above which a machine that only others hear is deleted
-HEARTBEAT_HOLD_S = 1.5  # a heartbeat waits so long for a leader in recovery (worker's limit 4 s)
-UNHEALTHY_FAILED_JOBS = 3  # different jobs that failed in a row before a machine is quarantined
-FAILING_JOB_MACHINES = 2  # on which a job failed that succeeded nowhere: probably its own fault
-WIDESPREAD_FAILURE_MACHINES = 3  # on which a job failed that had succeeded before
-FAILING_JOBS_KEPT = 200  # entries of the record that a new leader reads
-FAILING_JOB_BYTES = 48  # of one entry: an id has up to 32
-SUCCESS_RUNTIME_S = 5.0  # a task that fails by itself fails early: running for longer is success
-AVOID_MACHINES = 3  # machines that a job which failed there avoids, at most
-ERROR_BACKOFF_S = 2.0  # doubled with each failed start of a failing job
-ERROR_BACKOFF_MAX_S = 60.0  # a failing job stays until its user cancels it
-CHECKPOINT_GRACE_S = 3.0  # added to the time that a task needs for a checkpoint
-# Records over which the machines' image caches are spread, at least: a wave of new images on
-# hundreds of machines costs no more writes than this.
-CACHE_RECORDS = 64
-# Bytes of one machine's entry in such a record, at least: its name and about four images.
-CACHE_BYTES = 130
-FORGET_CACHES_S = 60.0  # after failover every live machine has sent a heartbeat or is listed
-# Tasks in one heartbeat, exited ones included, and commands in one response: each takes about 80
-# bytes of the protocol's 64 KiB, and a machine whose heartbeat is too large would be lost.
-MACHINE_TASKS = 600
-# Age at which a decoded task status that no heartbeat repeats is dropped. Each takes some 700
-# bytes, so memory follows what the machines report.
+# Live share from which a machine is deleted that sends heartbeats only to other controllers.
+CERTAIN_LIVE_SHARE = 0.8
+HEARTBEAT_HOLD_S = 1.5  # longest wait of a heartbeat for a leader in recovery; the worker waits 4 s
+UNHEALTHY_FAILED_JOBS = 3  # different jobs that fail in a row on a machine: it is quarantined
+FAILING_JOB_MACHINES = 2  # machines on which a job that never succeeded fails: it counts as failing
+WIDESPREAD_FAILURE_MACHINES = 3  # the same for a job that has succeeded before
+FAILING_JOBS_KEPT = 200  # entries in the record of failing jobs, which a new leader reads
+FAILING_JOB_BYTES = 48  # of one entry; a job id has up to 32
+SUCCESS_RUNTIME_S = 5.0  # running longer counts as success: a faulty task fails early
+AVOID_MACHINES = 3  # machines with the latest failures of a job, which the job avoids
+ERROR_BACKOFF_S = 2.0  # doubled with each consecutive failed start of a failing job
+ERROR_BACKOFF_MAX_S = 60.0  # a failing job is retried until its user cancels it
+CHECKPOINT_GRACE_S = 3.0  # added to the time that a job states for a checkpoint
+# Minimum number of records for the machines' image caches: new images on hundreds of machines at
+# once cost no more writes than there are records.
+IMAGE_CACHE_RECORDS = 64
+# Minimum bytes for one machine's entry in such a record: its name and about four images.
+IMAGE_CACHE_ENTRY_BYTES = 130
+# After failover; by then each live machine has sent a heartbeat or is listed.
+FORGET_IMAGE_CACHES_S = 60.0
+# Most tasks in one heartbeat, including exited tasks, and most commands in one response. Each takes
+# about 80 bytes of the protocol's 64 KiB, and a machine whose heartbeats are too large is lost.
+MACHINE_TASKS_MAX = 600
+# Age at which a decoded task status that no heartbeat repeats is dropped from the cache, so that
+# the cache holds current statuses only. Each takes some 700 bytes.
 TASK_STATUS_CACHE_S = 30.0
-DELETED_MEMORY_S = 1800.0  # late copies of a deleted machine's heartbeats come minutes late
-# A second and core: direct start commands for tasks that could wait for their machine's next
-# heartbeat, at most. Each costs the leader about as much as a heartbeat.
-DEFERRABLE_COMMANDS = 40.0
-GC_OBJECTS = 20_000  # new objects between runs of the cycle collector: asyncio makes few cycles
-DIRECT_TIMEOUT_S = 2.0  # a direct command without a response is repeated by the next heartbeat
+# Copies of a deleted machine's heartbeats may arrive minutes late.
+DELETED_MACHINE_MEMORY_S = 1800.0
+# Direct commands per second and CPU core, at most, that could wait for their machine's next
+# heartbeat. Each costs the leader about as much as a heartbeat.
+DEFERRABLE_COMMANDS_PER_S = 40.0
+# Allocations between runs of the cycle collector: asyncio makes few cycles.
+GC_THRESHOLD_OBJECTS = 20_000
+DIRECT_COMMAND_TIMEOUT_S = 2.0  # then the response to the next heartbeat repeats the command
 
 # --- placement ----------------------------------------------------------------------------------
-ROUND_GAP_S = 0.2  # least distance of two rounds: what arrives together is decided together
-ROUND_LOAD = 6.0  # times the last round's duration is left between rounds: batches widen with load
-ROUND_SLICE_S = 0.01  # a round yields to the event loop after deciding for so long
-ROUND_COMPACT_S = 60.0  # most rounds are over by then, and deleted without a further write
-ROUND_COMPACT_FACTOR = 4  # a record that names so many times the live attempts is worth a write
-ROUND_IDLE_S = 2.0  # a round also runs this often, since deadlines and health change with time
-SHAPE_MEMORY_S = 180.0  # capacity is spared for the next gang of a class seen this recently
+ROUND_MIN_PAUSE_S = 0.2  # minimum pause before a round, so that changes close in time share one
+ROUND_PAUSE_FACTOR = 6.0  # times the last round's duration: pause after it, to limit the load
+ROUND_SLICE_S = 0.01  # planning time after which a round yields to the event loop
+ROUND_COMPACT_AGE_S = 60.0  # minimum age of a compacted round record: most are deleted earlier
+ROUND_COMPACT_FACTOR = 4  # times the live attempts: a record that names more is compacted
+ROUND_MAX_WAIT_S = 2.0  # between rounds without a request: deadlines and health change with time
+RECENT_GANG_S = 180.0  # after a gang of a class arrives, capacity is left free for the next one
 STABLE_START_S = 31.0  # a start that is stopped within 30 s does not count for the objectives
-# Times the checkpoint time: a task that checkpoints by itself so often loses, with half an
-# interval, at most twice as long as a checkpoint would delay the preempting job.
-CHECKPOINT_WORTH = 4.0
-RESTART_S = 10.0  # what a preempted task loses besides work: queueing, a start, perhaps a fetch
-# Replicas of any jobs on one machine before other machines are preferred, so that its end costs
-# few of them. With less, more would have to fetch their image and start late.
-REPLICAS_TOGETHER = 8
-JOB_SIZE_WEIGHT = 3.0  # times the seconds a job would fill the fleet are added to its latest start
-CANARY_DELAY_S = 1e6  # canaries of failing jobs come after all other jobs of their priority
-# A job none of whose tasks has been placed for so long goes before all others: the largest must
-# begin within four minutes, however many smaller ones come.
+# Times the duration of a checkpoint. A task with periodic checkpoints at most this far apart is
+# preempted without a new one: it loses half an interval on average, at most twice the delay that a
+# checkpoint would cost the preempting job.
+CHECKPOINT_INTERVAL_FACTOR = 4.0
+RESTART_COST_S = 10.0  # time that a preempted task loses to queueing, starting and perhaps fetching
+# Number of replicas on one machine from which other machines are preferred, so that the loss of a
+# machine costs few replicas. A lower number makes more replicas fetch their image and start late.
+PREFERRED_REPLICAS_PER_MACHINE = 8
+JOB_SIZE_WEIGHT = 3.0  # times the seconds a job would fill the cluster: added to its latest start
+CANARY_DELAY_S = 1e6  # sorts canaries of failing jobs after other jobs of their priority
+# Time without any attempt after which a job goes before all others, so that the largest jobs start
+# within four minutes, however many smaller ones arrive.
 STARVING_S = 150.0
-GANG_STARVING_STEP_S = 10.0  # for each task of a gang but one, it counts as starving so much sooner
-GANG_STARVING_MOST_S = 90.0  # ... at most
-ESTIMATE_FLOOR = 0.3  # of the estimate is expected to remain of a task that outlives it
-FETCH_WORTH_S = 10.0  # a longer image fetch is worth preempting on a machine that has the image
-URGENT_S = 30.0  # with more time left to meet an objective, a job waits rather than preempts
+GANG_STARVING_STEP_S = 10.0  # a gang counts as starving this much sooner per task after the first
+GANG_STARVING_MAX_S = 90.0  # maximum of that sum for one gang
+MIN_REMAINING_SHARE = 0.3  # of the estimated run time: minimum expected to remain of a running task
+LONG_FETCH_S = 10.0  # image fetch time from which preempting where the image is cached is better
+URGENT_SLACK_S = 30.0  # time left to meet an objective below which a job may preempt others
 
 # --- autoscaling --------------------------------------------------------------------------------
-LIST_S = 3.0  # between reads of the machine list, at least
-LIST_SHARE = 0.4  # of the cloud's request rate: the list of thousands of machines has many pages
-LIST_KEEP = 0.5  # of the cloud's burst that pages of the list leave to scale-out and scale-in
-TYPES_S = 60.0  # between reads of machine types; prices move slowly
+MACHINE_LIST_MIN_INTERVAL_S = 3.0  # least time between reads of the machine list
+# Of the cloud's request rate: the list of thousands of machines has many pages.
+MACHINE_LIST_RPS_SHARE = 0.4
+# Of the cloud's burst: pages of the list leave it to scale-out and scale-in.
+MACHINE_LIST_BURST_RESERVE = 0.5
+MACHINE_TYPES_INTERVAL_S = 60.0  # between reads of machine types; prices move slowly
 CLOUD_TIMEOUT_S = 4.0  # responses of the cloud take some 100 ms
-PROVISION_MAX = 50  # machines in one provision request (protocol)
-DELETE_MAX = 100  # names in one deletion request (protocol)
-LIST_PAGE = 500  # machines in one page of the list (protocol)
-SCALE_OUT_GAP_S = 0.5  # least distance of two scale-out plans
-NO_CAPACITY_S = 12.0  # before a refused type, zone and kind is requested again
-# Times startup_s: a machine that is not up by then, though others provisioned no sooner are, is
-# deleted.
-STARTUP_PATIENCE = 4.0
-STARTUP_PATIENCE_ALL = 8.0  # times startup_s; the same if none is up: the cloud is late with all
-# Times startup_s: others are up after 1.5 times, so a replacement is provisioned.
-STARTUP_LATE = 1.75
+MAX_PROVISION_COUNT = 50  # machines in one provision request (protocol)
+MAX_DELETION_NAMES = 100  # names in one deletion request (protocol)
+MACHINE_LIST_PAGE_SIZE = 500  # machines in one page of the list (protocol)
+SCALE_OUT_PAUSE_S = 0.5  # pause after a scale-out plan
+# After a capacity error, before the same kind of machine is requested again.
+CAPACITY_ERROR_BACKOFF_S = 12.0
+# Times startup_s: a machine that is not up by then is deleted, if one of its type that was
+# provisioned at the same time or later is up.
+STARTUP_TIMEOUT_FACTOR = 4.0
+# Times startup_s: the same limit if no such machine is up, since the cloud then delays all.
+STARTUP_TIMEOUT_FACTOR_ALL_LATE = 8.0
+# Times startup_s: a replacement is provisioned for a machine that is not up by then. Others are up
+# after 1.5 times.
+STARTUP_LATE_FACTOR = 1.75
 SAME_AGE_S = 2.0  # machines provisioned within this time count as equally old
-STARTUP_PATIENCE_MIN_S = 60.0  # a deleted machine costs 60 s in any case
-UNLISTED_LAGS = 8.0  # list lags; a silent machine that is unlisted for so long is gone
-QUIET_HOLD_S = 4.0  # an idle machine is kept so long once no job has arrived for a startup time
-RECLAIM_MARGIN_S = 1.0  # after the time that a spot notice gave
-USAGE_SAMPLE_S = 10.0  # between samples of what all machines are doing, for the usage log line
-USAGE_LOG_S = 30.0  # between usage log lines
-QUOTA_IDLE_HOLD_S = 300.0  # idle machines are kept so long where teams have a quota guarantee
-# Idle machines deleted at once for a starving job whose machine types the cloud refuses.
-RETURNED_FOR_STARVING_JOB = 4
-# Such machines must have been idle for so long; others will soon be used again, with their images.
-RETURNED_FOR_STARVING_JOB_IDLE_S = 90.0
-RETURNED_FOR_STARVING_JOB_GAP_S = 30.0  # between such deletions: time enough to see their effect
-# Times startup_s an idle machine is kept elsewhere: about what starting it and fetching anew cost.
-IDLE_STARTUP_TIMES = 1.0
+MIN_STARTUP_TIMEOUT_S = 60.0  # a deleted machine costs 60 s in any case
+UNLISTED_LAGS = 8.0  # times list_lag_s: a silent machine that is unlisted for so long is gone
+# An idle machine is kept for so long if no job has arrived during the last startup time.
+QUIET_IDLE_HOLD_S = 4.0
+RECLAIM_MARGIN_S = 1.0  # added to the time at which a spot machine is to be reclaimed
+USAGE_SAMPLE_INTERVAL_S = 10.0  # between samples of machine activity, for the usage log line
+USAGE_LOG_INTERVAL_S = 30.0  # between usage log lines
+QUOTA_IDLE_HOLD_S = 300.0  # idle machines are kept for so long if teams have a quota guarantee
+# Idle machines deleted at a time for starving jobs that can't use them, after capacity errors.
+MAX_DELETED_FOR_STARVING_JOB = 4
+# Such machines have been idle for so long: others are likely to be reused, with cached images.
+DELETED_FOR_STARVING_JOB_IDLE_S = 90.0
+DELETED_FOR_STARVING_JOB_INTERVAL_S = 30.0  # between such deletions, so that each can take effect
+# Times startup_s: other idle machines are kept for so long, which costs about as much as starting
+# a new machine and fetching images again.
+IDLE_HOLD_STARTUP_FACTOR = 1.0
 
 # --- peers --------------------------------------------------------------------------------------
 # A user waits 2 s for a query, so that the state service can still be read after this timeout.
@@ -196,41 +214,41 @@
 STARTUP_GRACE_S = 6.0  # after its start a controller passes health checks for this long
 
 # --- duties -------------------------------------------------------------------------------------
-DUTY_RENEWALS = 5.0  # attempts to renew that fit into one lease on a duty
-DUTY_LOOK_S = 2.0  # a claimant checks this often, though watch events wake it
-DUTY_LEADER_PAUSE_S = 1.0  # the leader leaves a free duty to others for so long: it has other work
-DUTY_HELD_PAUSE_S = 0.4  # for each duty that a controller holds it leaves others more time
-DUTY_HANDOVERS_KEPT = 5  # claims in the record of the fencing token, for operators
-DUTY_RESULTS_KEPT = 1000  # results that a holder can repeat, some 1 KiB each at most
-DUTY_ACTS_MOST = 200  # unfinished actions of a duty: 10,000 provisionings or 20,000 deletions
-DUTY_WAITING_S = 10.0  # what waits is retried every second: an older reason no longer holds
-DUTY_WAIT_S = 3.0  # a holder responds by then, with what it knows
-DUTY_ASK_S = 4.0  # the leader waits a little longer than that
-DUTY_ASKS_AT_ONCE = 16  # requests of a leader to one holder: each takes a socket of both
-DUTY_LEADER_WRITES = 0.5  # of the write rate, while holders write beside the leader
-DUTY_CLOUD_SHARE = 0.3  # of the cloud's request rate for each holder; the leader's list needs 0.4
-DUTY_CLAIM_STEP_S = 0.001  # timers fire in steps of about this: no shorter wait is begun
+DUTY_RENEWALS_PER_LEASE = 5.0  # attempts to renew a lease on a duty within its duration
+DUTY_CLAIM_CHECK_S = 2.0  # between checks for free duties, besides those that watch events cause
+DUTY_LEADER_PAUSE_S = 1.0  # the leader leaves a free duty to others: it has other work
+DUTY_HELD_PAUSE_S = 0.4  # added to that delay for each duty that a controller already holds
+DUTY_HANDOVERS_KEPT = 5  # latest claims in the record of the fencing token, for operators
+DUTY_RESULTS_KEPT = 1000  # for repeated requests; each result takes at most some 1 KiB
+DUTY_MAX_ACTIONS = 200  # unfinished at a time: up to 10,000 new machines or 20,000 deletions
+DUTY_WAIT_REASON_MAX_AGE_S = 10.0  # waiting work is retried each second: older reasons are outdated
+DUTY_RESPONSE_S = 3.0  # a holder responds by then, with PENDING if the action is unfinished
+DUTY_REQUEST_TIMEOUT_S = 4.0  # timeout of a request to a holder, a little longer than that
+DUTY_MAX_CONCURRENT_REQUESTS = 16  # of a leader to holders: each takes a socket on both sides
+DUTY_LEADER_WRITE_SHARE = 0.5  # of the write rate, while holders write as well as the leader
+DUTY_CLOUD_SHARE = 0.3  # of the cloud's request rate, for each holder; the leader's list needs 0.4
+DUTY_TIMER_RESOLUTION_S = 0.001  # about the resolution of timers: a shorter wait counts as over
 
 # --- cells --------------------------------------------------------------------------------------
-CELL_HEARTBEAT_S = 1.0  # between heartbeats to each other cell: many attempts fit into any lease
-CELL_SOON_S = 0.15  # before a heartbeat that an event caused, so that several events share it
-CELL_TIMEOUT_S = 2.0  # another cell responds in milliseconds, or after two commits of its store
-CELL_OFFER_S = 3.0  # an offer waits for a round and a commit of the borrower
-# A new leader requests its leases for so long before it serves; heartbeats of workers meanwhile
-# are held for HEARTBEAT_HOLD_S.
-CELL_LEASE_REQUEST_S = 1.0
-CELL_RETRY_S = 2.0  # before a cell, or a job, that was refused is tried again; doubled each time
-CELL_RETRY_MOST_S = 60.0  # ... at most
-CELL_RESERVATION_S = 8.0  # capacity is reserved for an offer: offer and grant take two commits each
-CELL_UNPLACED_S = 15.0  # a borrowed job that is not placed for so long goes back
-CELL_ENDED_S = 600.0  # the end of a borrowed job is kept for a home that is down for so long
-CELL_BORROWED_MOST = 64  # borrowed jobs at a time: each takes some 120 bytes of every heartbeat
-CELL_TASKS_MOST = 64  # tasks of a job that is handed off: all of them are placed at once
-CELL_HANDOFFS_MOST = 3  # of one job in a term, so that it does not move back and forth
-CELL_CAPACITY_ROWS = 64  # of a summary of free capacity, some 40 bytes each
-CELL_CAPACITY_FRESH_S = 5.0  # an older summary is ignored
-CELL_OPERATIONS = 4  # offers in progress at a time
-CELL_PATIENCE_S = 3.0  # a job waits for so long at home, since preemption there takes as long
-CELL_HANDOFF_S = 2.0  # an offer, two commits on either side and a round, as measured
-CELL_GAIN_S = 4.0  # by which a job must start sooner elsewhere
-CELL_UNKNOWN_WAIT_S = 3600.0  # stands for a wait that can't be estimated
+CELL_HEARTBEAT_S = 1.0  # between heartbeats to each other cell; a lease spans many of them
+CELL_HEARTBEAT_DELAY_S = 0.15  # after an event, so that several events share a heartbeat
+CELL_HEARTBEAT_TIMEOUT_S = 2.0  # the response takes milliseconds, or two commits of that cell
+CELL_OFFER_TIMEOUT_S = 3.0  # the borrower's response takes a scheduling round and a commit
+# Before a new leader serves requests, it waits this long for leases from home cells. Workers'
+# heartbeats are held for HEARTBEAT_HOLD_S meanwhile.
+CELL_LEASE_REQUEST_TIMEOUT_S = 1.0
+CELL_BACKOFF_MIN_S = 2.0  # pause for a job and a cell after a refused offer; doubled each time
+CELL_BACKOFF_MAX_S = 60.0  # upper bound of that pause
+CELL_RESERVATION_S = 8.0  # for which capacity is reserved; offer and grant take two commits each
+CELL_UNPLACED_TIMEOUT_S = 15.0  # a borrowed job without placement goes back to its home cell
+CELL_END_RETENTION_S = 600.0  # the end of a borrowed job is kept for a home cell that is down
+CELL_MAX_BORROWED_JOBS = 64  # at a time; each takes some 120 bytes of every heartbeat
+CELL_MAX_TASKS = 64  # tasks of a job that may be handed off, since all of them are placed at once
+CELL_MAX_HANDOFFS = 3  # handoffs of one job in a term, so that it does not move back and forth
+CELL_MAX_CAPACITY_ROWS = 64  # rows of a summary of free capacity, some 40 bytes each
+CELL_CAPACITY_MAX_AGE_S = 5.0  # age from which a summary of free capacity is ignored
+CELL_MAX_OFFERS = 4  # offers in progress at a time
+CELL_MIN_WAIT_S = 3.0  # wait of a job before it is offered: preemption at home takes as long
+CELL_HANDOFF_COST_S = 2.0  # duration: an offer, a scheduling round, two commits in each cell
+CELL_MIN_GAIN_S = 4.0  # minimum by which a job must start sooner in another cell than at home
+CELL_UNKNOWN_WAIT_S = 3600.0  # stands for a wait that cannot be estimated
--- a/peathall/duties/delegate.py
+++ b/peathall/duties/delegated_cloud.py
@@ -1,4 +1,4 @@
-"""The leader's side of scale-out and scale-in while duties are on: requests to the holders."""
+"""How the leader provisions and deletes machines while duties are on: requests to the holders."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from peathall import constants
 from peathall.autoscaling.actions import CloudError, NoCapacityError, ProvisionRequest
-from peathall.duties.holders import Holders
+from peathall.duties.holder_client import HolderClient
 from peathall.duties.model import (
     ActionRequest,
     ActionResult,
@@ -19,22 +19,26 @@
 
 
 class DelegatedCloud:
-    """CloudActions by way of the duties' holders; without a holder they raise CloudError."""
+    """Cloud actions that the holders of the duties carry out; CloudError if there is no holder."""
 
-    def __init__(self, term: int, leader_version: Callable[[], int], holders: Holders) -> None:
-        """`leader_version`: version of the leader key, on which the holders' commits depend."""
+    def __init__(
+        self, term: int, leader_version: Callable[[], int], holder_client: HolderClient
+    ) -> None:
+        """`leader_version`: version of the leader key, a condition of the holders' commits."""
         self._term = term
         self._leader_version = leader_version
-        self._holders = holders
-        self._number = 0  # of the latest deletion
-        self._deletion: Deletion | None = None  # requested, and not answered yet
-        self._concurrency = asyncio.Semaphore(constants.DUTY_ASKS_AT_ONCE)
+        self._holder_client = holder_client
+        self._deletion_count = 0  # numbers the deletions of this term
+        self._deletion: Deletion | None = None  # requested and not known to be done
+        self._concurrency = asyncio.Semaphore(constants.DUTY_MAX_CONCURRENT_REQUESTS)
 
     async def provision(self, request: ProvisionRequest, /) -> list[str]:
-        """Names of the machines that the holder of scale-out has provisioned; raises CloudError
-        or NoCapacityError."""
+        """Have the holder of scale-out provision machines; returns their names.
+
+        Raises CloudError or NoCapacityError.
+        """
         holder = self._holder(Duty.SCALE_OUT)
-        result = await self._ask(
+        result = await self._send_request(
             holder,
             ActionRequest(
                 Duty.SCALE_OUT, holder.token, self._term, self._leader_version(), provision=request
@@ -45,18 +49,21 @@
         return result.machines
 
     async def delete(self, machines: list[str], /) -> None:
-        """Returns once the holder of scale-in has deleted them; raises CloudError. A request that
-        was not answered yet goes first, under its own name."""
+        """Have the holder of scale-in delete the machines; returns once they are deleted.
+
+        An earlier deletion that is not known to be done is repeated first, under its own name.
+        Raises CloudError.
+        """
         waiting = set(machines)
         while self._deletion is not None or waiting:
             if self._deletion is None:
-                self._number += 1
-                # The term makes the name unique for good, as that of a provision request.
-                name = f"d-{self._term}-{self._number}"
+                self._deletion_count += 1
+                # The term makes the name unique among all deletions, of earlier terms as well.
+                name = f"d-{self._term}-{self._deletion_count}"
                 self._deletion = Deletion(name, [m for m in machines if m in waiting])
             deletion = self._deletion
             holder = self._holder(Duty.SCALE_IN)
-            await self._ask(
+            await self._send_request(
                 holder,
                 ActionRequest(
                     Duty.SCALE_IN,
@@ -70,21 +77,21 @@
             waiting -= set(deletion.machines)
 
     def _holder(self, duty: Duty) -> HolderRecord:
-        holder = self._holders.current(duty)
+        holder = self._holder_client.current(duty)
         if holder is None:
-            self._holders.waiting.note(duty, "nobody holds the duty")
+            self._holder_client.wait_reasons.note(duty, "nobody holds the duty")
             raise CloudError(f"duty {duty.value} waits: no controller holds it", sent=False)
         return holder
 
-    async def _ask(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
+    async def _send_request(self, holder: HolderRecord, request: ActionRequest) -> ActionResult:
         async with self._concurrency:
-            result = await self._holders.ask(holder, request)
+            result = await self._holder_client.send_request(holder, request)
         if result.outcome in (Outcome.DONE, Outcome.NO_CAPACITY):
-            self._holders.waiting.clear(request.duty)
+            self._holder_client.wait_reasons.clear(request.duty)
             return result
-        self._holders.waiting.note(request.duty, f"{holder.member}: {result.why}")
-        # What is refused now may have been committed when it was requested before: only PENDING
-        # tells of this request that it may be carried out.
+        self._holder_client.wait_reasons.note(request.duty, f"{holder.member}: {result.why}")
+        # Only PENDING means that this request may have been committed. After REFUSED, an earlier
+        # request under the same name may still have been.
         sent = result.outcome is Outcome.PENDING
         raise CloudError(
             f"duty {request.duty.value}: {request.name} is not done by its holder "
--- a/tests/unit/test_rounds.py
+++ b/tests/unit/test_rounds.py
@@ -12,9 +12,9 @@
 from peathall.cluster.machine import MachinePhase
 from peathall.cluster.state import ClusterState
 from peathall.config.platform import StateSettings
-from peathall.leadership.lease import first_attempt
+from peathall.leadership.lease import first_number_of_term
 from peathall.placement.plan import Assignment, Plan
-from peathall.placement.rounds import ROUND, RoundRecords, from_record
+from peathall.placement.rounds import ROUND_PREFIX, RoundRecords, from_record
 from peathall.protocol.codec import json_size
 from peathall.protocol.state_service import KeyValue
 from peathall.store.errors import InvalidTransactionError
@@ -30,7 +30,9 @@
 def items(store: FakeStore) -> list[KeyValue]:
     """The records of rounds that are stored."""
     return [
-        KeyValue(key, value, at) for key, (value, at) in store.data.items() if key.startswith(ROUND)
+        KeyValue(key, value, at)
+        for key, (value, at) in store.data.items()
+        if key.startswith(ROUND_PREFIX)
     ]
 
 
@@ -80,7 +82,7 @@
         entries = [entry for item in items(store) for entry in from_record(item.value)]
         assert sorted(e.tasks[0][0] for e in entries if e.job == "j-1") == list(range(30))
         # The next leader reads just these.
-        after = ClusterState(TERM + 1, first_attempt(TERM + 1))
+        after = ClusterState(TERM + 1, first_number_of_term(TERM + 1))
         after.jobs["j-1"] = Job(spec(id="j-1", daemon=True, tasks=30))
         RoundRecords(after, writer).load(items(store), 0.0)
         assert len(after.jobs["j-1"].attempts) == 30
@@ -103,7 +105,7 @@
         await settle()
         for attempt in part.attempts[1:]:
             cluster.release(attempt, 1.0)
-        compaction = rounds.compaction_of(part.key, 100.0)
+        compaction = rounds.compaction_mutation(part.key, 100.0)
         assert compaction is not None
         cluster.release(job.attempts[0], 101.0)
         await settle()
@@ -198,7 +200,7 @@
         for stored in range(len(values)):
             workers = new_workers(now)
             workers.cluster.term = TERM + 1
-            workers.cluster.last_attempt_number = first_attempt(TERM + 1)
+            workers.cluster.last_attempt_number = first_number_of_term(TERM + 1)
             wide_gang(workers, 130)
             gang = workers.cluster.jobs["j-2"]
             placement = new_placement(workers, writer)
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -32,17 +32,17 @@
 from peathall.cluster.job import Job, JobHealth
 from peathall.cluster.machine import Machine, MachinePhase
 from peathall.config.modes import Mode
-from peathall.duties.board import DutyBoard
-from peathall.duties.claim import DutyClaim, Tenure
+from peathall.duties.claim import DutyClaim, Ownership
 from peathall.duties.executor import DutyExecutor
 from peathall.duties.gate import DutyGate
 from peathall.duties.model import ActionRequest, Deletion, Duty, HolderRecord
+from peathall.duties.record_cache import DutyRecordCache
 from peathall.duties.status import describe
 from peathall.jobs.follower import FollowerService
 from peathall.jobs.jobs import Jobs
 from peathall.jobs.live_index import LiveJobIndex
 from peathall.leadership.election import Election
-from peathall.leadership.lease import LeaderLease, first_attempt
+from peathall.leadership.lease import HeldLease, first_number_of_term
 from peathall.leadership.term import LeaderTerm
 from peathall.placement.plan import Assignment
 from peathall.placement.rounds import RoundRecords
@@ -248,7 +248,7 @@
 async def leading(store: RecordingStore) -> AsyncIterator[Jobs]:
     """A leader's jobs in term 7 whose writer runs; a machine type and two machines are known."""
     jobs = leader(store, TERM)
-    jobs.cluster.last_attempt_number = first_attempt(TERM)
+    jobs.cluster.last_attempt_number = first_number_of_term(TERM)
     jobs.cluster.types = {"g": machine_type()}
     for name in ("m-1", "m-2"):
         jobs.cluster.machine(name, "g", "a", True, MachinePhase.UP, 0.0)
@@ -287,13 +287,13 @@
 
 
 @asynccontextmanager
-async def followed_board(store: Any) -> AsyncIterator[DutyBoard]:
+async def followed_record_cache(store: Any) -> AsyncIterator[DutyRecordCache]:
     """Has read what is stored."""
-    board = DutyBoard(store)
-    task = asyncio.create_task(board.run())
-    await until(lambda: board.known)
+    record_cache = DutyRecordCache(store)
+    task = asyncio.create_task(record_cache.run())
+    await until(lambda: record_cache.known)
     try:
-        yield board
+        yield record_cache
     finally:
         task.cancel()
 
@@ -504,7 +504,7 @@
                 (0, FIRST, "m-1"), (1, FIRST, "m-1"), (2, FIRST, "m-1"), (3, FIRST, "m-2"),
             ]  # fmt: skip
             jobs.cluster.release_all(jobs.cluster.machines["m-1"], 0.0)
-            rounds.compact(constants.ROUND_COMPACT_S + 1.0)
+            rounds.compact(constants.ROUND_COMPACT_AGE_S + 1.0)
             await store.next_write(ROUND_KEY)
 
     assert_written(play(test), {ROUND_KEY: [ROUND_COMPACTED]})
@@ -515,12 +515,12 @@
         async with leading(store) as jobs:
             machine = jobs.cluster.machines["m-1"]
             machine.images.update({"kit-a": 5.26, "kit-b": 4.0})
-            ImageCacheRecords(jobs.cluster, jobs.writer).changed(machine)
+            ImageCacheRecords(jobs.cluster, jobs.writer).schedule_write(machine)
             await store.next_write(CACHE_KEY)
             later = ImageCacheRecords(jobs.cluster, jobs.writer)
             later.load([item(CACHE_KEY, CACHE)])
             known = Machine("m-1", "g", "a", True, MachinePhase.UP)
-            later.recall(known)
+            later.restore(known)
             assert dict(known.images) == {"kit-a": 5.3, "kit-b": 4.0}
 
     assert_written(play(test), {CACHE_KEY: [CACHE]})
@@ -564,8 +564,8 @@
     async def test(store: RecordingStore) -> None:
         store.write("term", {"n": 7})
         await campaign(store, gate=Mode.ON)
-        async with followed_board(store) as board:
-            assert board.enabled_version == store.data["duties/on"][1]
+        async with followed_record_cache(store) as record_cache:
+            assert record_cache.enabled_version == store.data["duties/on"][1]
 
     assert_written(play(test), {"lead": [LEAD], "term": [{"n": 8}], "duties/on": [MARK]})
 
@@ -593,20 +593,27 @@
         def claim_delay_s(self) -> float:
             return 0.0
 
-        async def hold(self, held: Duty, tenure: Tenure) -> None:
+        async def hold(self, held: Duty, ownership: Ownership) -> None:
             assert held is duty
-            assert tenure.holder.token == 5
+            assert ownership.holder.token == 5
 
     async def test(store: RecordingStore) -> None:
         client: Any = store
         store.write("duties/on", MARK)
         store.write(f"duties/token/{name}", TOKEN_BEFORE)
-        async with followed_board(store) as board:
+        async with followed_record_cache(store) as record_cache:
             claim = DutyClaim(
-                duty, "hall-1", client, board, 20.0, lambda: WALL, random.Random(1), Holding()
+                duty,
+                "hall-1",
+                client,
+                record_cache,
+                20.0,
+                lambda: WALL,
+                random.Random(1),
+                Holding(),
             )
             clock: Any = SimpleNamespace(time=lambda: 100.0)
-            claim.loop, board.vacant_since[duty] = clock, 97.5
+            claim.loop, record_cache.vacant_since[duty] = clock, 97.5
             await claim._claim()
 
     store = play(test)
@@ -618,8 +625,8 @@
 def test_holder_is_read(name: str, duty: Duty) -> None:
     async def test(store: RecordingStore) -> None:
         store.write(f"duties/holder/{name}", HOLDER)
-        async with followed_board(store) as board:
-            assert board.holders == {
+        async with followed_record_cache(store) as record_cache:
+            assert record_cache.holders == {
                 duty: HolderRecord(member="hall-1", token=5, lease=71, since=WALL, vacant_s=2.5)
             }
 
@@ -648,11 +655,13 @@
     store.write(key, HOLDER)
     holder = HolderRecord(member="hall-1", token=5, lease=71, since=WALL, vacant_s=2.5)
     record = GuardKey(key, HOLDER, store.revision, LEASE)
-    tenure = Tenure(holder, record, LeaderLease(20.0, 0.0))
-    claim: Any = SimpleNamespace(may_act=lambda: True, may_begin=lambda: True, lost=lambda: None)
-    executor = DutyExecutor(duty, claim, tenure, store, LIMITS, cloud)
+    ownership = Ownership(holder, record, HeldLease(20.0, 0.0))
+    claim: Any = SimpleNamespace(
+        may_act=lambda: True, may_begin=lambda: True, on_ownership_lost=lambda: None
+    )
+    executor = DutyExecutor(duty, claim, ownership, store, LIMITS, cloud)
     task = asyncio.create_task(executor.run())
-    await executor.adopted.wait()
+    await executor.ready.wait()
     try:
         yield executor
     finally:
@@ -714,7 +723,7 @@
         async with leading(store) as jobs:
             gang, _ = load_jobs(jobs)
             home, south = home_of(jobs), SimpleNamespace(name="south", offer=offer)
-            assert await home.carry_out(home.begin(gang, "south"), south) is None
+            assert await home.offer_and_grant(home.begin(gang, "south"), south) is None
 
     assert_written(play(test), {HANDOFF_KEY: [OFFERED, GRANTED]})
 
