--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -1,4 +1,5 @@
-"""Nothing stands below four thousand machines: a day of a large fleet, and each bound alone."""
+"""Fleets of thousands of machines: a day with a large fleet, and tests of single limits that were
+once too low for 4000 machines."""
 
 from __future__ import annotations
 
@@ -23,7 +24,8 @@
 
 
 def test_a_fleet_of_several_list_pages_is_provisioned_recovered_and_replaced() -> None:
-    """More machines than a page of the list, a deletion, a rental or the sockets hold."""
+    """The fleet has more machines than fit in a page of the machine list, in a deletion request or
+    in a provision request, and more than there are sockets for direct commands."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     with virtual(21) as loop:
         player = FleetPlayer(loop, constants.MACHINE_LIST_PAGE_SIZE + 100)
@@ -43,12 +45,13 @@
 
 
 def test_each_of_thousands_of_machines_keeps_several_images_in_small_records() -> None:
-    """At 64 records of 2 KiB, 62 machines shared one, and most of them kept nothing."""
+    """With a fixed number of 64 records of 2 KiB, 62 machines would share one, and most of them
+    would keep no image."""
 
     async def run() -> None:
-        store = StateSettings(100.0, 50.0, 2.0, 4)
-        nobody: Any = None
-        writer = Writer(nobody, store, lead(), lambda: True, lambda: None)
+        limits = StateSettings(100.0, 50.0, 2.0, 4)
+        no_store: Any = None
+        writer = Writer(no_store, limits, lead(), lambda: True, lambda: None)
         cluster = ClusterState(1, 1)
         caches = ImageCacheRecords(cluster, writer)
         for number in range(MACHINES):
@@ -68,24 +71,25 @@
 
 
 def test_repeated_task_statuses_of_thousands_of_machines_are_cached() -> None:
-    """A fixed number of sentences, once exceeded, recognised none: each came after all others."""
-    read: list[int] = []
+    """An LRU cache of fixed size, once exceeded, would find nothing: each status comes again only
+    after all others."""
+    decoded: list[int] = []
 
-    def reading(number: int) -> object:
-        read.append(number)
+    def decode(number: int) -> object:
+        decoded.append(number)
         return object()
 
-    memory = DecodeCache(reading)
+    cache = DecodeCache(decode)
     tasks = 12 * MACHINES
-    first = [memory(number) for number in range(tasks)]
+    first = [cache(number) for number in range(tasks)]
     for _ in range(3):
-        memory.begin_generation()
-        assert [memory(number) for number in range(tasks)] == first
-    assert len(read) == tasks
-    for _ in range(2):  # all but one have ended
-        memory.begin_generation()
-        memory(0)
-    assert len(memory) == 1
+        cache.begin_generation()
+        assert [cache(number) for number in range(tasks)] == first
+    assert len(decoded) == tasks
+    for _ in range(2):  # all tasks but one have ended
+        cache.begin_generation()
+        cache(0)
+    assert len(cache) == 1
 
 
 def test_list_pages_leave_most_cloud_calls_to_scaling() -> None:
@@ -94,7 +98,7 @@
         assert pages / list_interval_s(MACHINES, rps) < 0.5 * rps
     assert (
         list_interval_s(600, 4.0) == constants.MACHINE_LIST_MIN_INTERVAL_S
-    )  # fleets of today are looked at as ever
+    )  # a small fleet is listed at the shortest interval
 
 
 def test_deleted_machines_are_remembered_while_late_heartbeats_may_come() -> None:
