--- a/bench/larger.py
+++ b/bench/larger.py
@@ -21,7 +21,7 @@
 from peathall.operator_config.settings import Operator
 from tests.sim.fleet_day import FleetPlayer
 from tests.sim.net import Host, MemoryTransport, VirtualLoop
-from tests.sim.test_days import virtual
+from tests.sim.test_days import virtual_loop
 from tests.sim.world import World
 
 STEADY_S = 15.0
@@ -49,7 +49,7 @@
 
 def play(machines: int, share: float, cells: bool) -> None:
     began = time.monotonic()
-    with virtual(21) as loop:
+    with virtual_loop(21) as loop:
         player = FleetPlayer(loop, machines, share)
         if cells:
             player.world.controller_hosts.operators = dict.fromkeys(range(player.world.size), CELLS)
--- a/bench/spill.py
+++ b/bench/spill.py
@@ -24,7 +24,7 @@
 
 from peathall.operator_config.settings import Operator
 from tests.sim.cells_world import LEASE_S, Cells
-from tests.sim.test_days import virtual
+from tests.sim.test_days import virtual_loop
 
 CELLS = 3
 WEIGHTS = [0.6, 0.25, 0.15]  # of bursts
@@ -98,7 +98,7 @@
 
 
 def play(seed: int, seconds: float, spilling: bool, outcome: Outcome) -> None:
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         cells = Cells(loop, seed, CELLS)
         for world in cells.worlds:
             for index, operator in world.controller_hosts.operators.items():
@@ -140,7 +140,7 @@
 def take_back(times: int) -> None:
     histogram = HdrHistogram(1, 3_600_000, 3)
     for seed in range(1, times + 1):
-        with virtual(seed) as loop:
+        with virtual_loop(seed) as loop:
             took = loop.run_until_complete(vanish_once(Cells(loop, seed, 2)))
             histogram.record_value(int(1000 * took))
     workers = 12.0 * 1.001 + 1.0  # lapse_s of the tests' sites
--- a/tests/sim/cells_world.py
+++ b/tests/sim/cells_world.py
@@ -14,7 +14,7 @@
 from tests.sim.net import Host, VirtualLoop
 from tests.sim.sites import controller_text, controller_text_with_next_limits
 from tests.sim.task_registry import TaskRegistry
-from tests.sim.test_days import cut_one_way, draw_job, virtual
+from tests.sim.test_days import cut_one_way, draw_job, virtual_loop
 from tests.sim.worker import Worker
 from tests.sim.world import World
 
@@ -215,7 +215,7 @@
     next_limits: bool = False,
 ) -> Cells:
     """Plays the day and checks the rules at its end."""
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         cells = Cells(loop, seed, count, next_limits)
 
         async def whole_day() -> None:
--- a/tests/sim/test_combined_failures.py
+++ b/tests/sim/test_combined_failures.py
@@ -14,7 +14,7 @@
 from peathall.http.client import HttpClient, NoAnswerError
 from tests.sim.net import Host
 from tests.sim.sites import controller_settings
-from tests.sim.test_days import cut, cut_one_way, draw_job, submit_random_jobs, virtual
+from tests.sim.test_days import cut, cut_one_way, draw_job, submit_random_jobs, virtual_loop
 from tests.sim.worker import Worker
 from tests.sim.world import World
 
@@ -543,7 +543,7 @@
 )
 def test_the_rules_hold_during_combined_failures(failures: CombinedFailure, seed: int) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = World(loop, seed, [controller_settings(i) for i in range(3)])
         loop.run_until_complete(play(world, failures))
         assert world.broken == []
--- a/tests/sim/test_days.py
+++ b/tests/sim/test_days.py
@@ -41,7 +41,7 @@
 
 
 @contextlib.contextmanager
-def virtual(seed: int) -> Iterator[VirtualLoop]:
+def virtual_loop(seed: int) -> Iterator[VirtualLoop]:
     """An event loop on a virtual clock; cancels the loop's tasks at the end."""
     loop = VirtualLoop(seed)
     asyncio.set_event_loop(loop)
@@ -159,7 +159,7 @@
     world.loop.call_later(seconds, world.loop.blocked.difference_update, pairs)
 
 
-async def day(world: World, kinds: list[str]) -> None:
+async def play_day(world: World, kinds: list[str]) -> None:
     """Submits random jobs for 90 s while faults of these kinds are injected, then waits until every
     job has ended and its user knows."""
     await world.begin()
@@ -181,13 +181,14 @@
     world.check_served()
 
 
+# Kinds of faults that are injected on one day.
 CRASHES = ["crash_leader", "crash_all"]
-STORE = ["outage", "lossy", "crash_leader"]
+STORE_FAULTS = ["outage", "lossy", "crash_leader"]
 CUTS = ["cut_worker", "cut_controller", "cut_state", "cut_workers", "cut_peers"]
-MACHINES = ["die", "unhealthy", "cloud", "cut_worker"]
-SPOT = ["notice", "crash_leader", "notice", "cut_worker"]
-ONE_WAY = ["cut_inbound", "cut_from_leader", "cut_worker"]
-COPIES = ["copies", "crash_leader", "cut_worker", "cut_inbound", "die"]
+MACHINE_FAULTS = ["die", "unhealthy", "cloud", "cut_worker"]
+SPOT_FAULTS = ["notice", "crash_leader", "notice", "cut_worker"]
+ONE_WAY_CUTS = ["cut_inbound", "cut_from_leader", "cut_worker"]
+MESSAGE_COPIES = ["copies", "crash_leader", "cut_worker", "cut_inbound", "die"]
 FLAPS = ["flap", "isolate", "copies"]
 FREEZES = ["freeze_leader", "freeze", "crash_leader"]
 
@@ -197,19 +198,22 @@
     [
         (1, []),
         (2, CRASHES),
-        (3, STORE),
+        (3, STORE_FAULTS),
         (4, CUTS),
-        (5, MACHINES),
-        (6, CRASHES + STORE + CUTS + MACHINES),
-        (7, CRASHES + STORE + CUTS + MACHINES),
+        (5, MACHINE_FAULTS),
+        (6, CRASHES + STORE_FAULTS + CUTS + MACHINE_FAULTS),
+        (7, CRASHES + STORE_FAULTS + CUTS + MACHINE_FAULTS),
         (8, ["lossy", "crash_all"]),
-        (10, SPOT),
-        (11, SPOT + STORE),
-        (12, ONE_WAY),
-        (13, COPIES),
+        (10, SPOT_FAULTS),
+        (11, SPOT_FAULTS + STORE_FAULTS),
+        (12, ONE_WAY_CUTS),
+        (13, MESSAGE_COPIES),
         (14, FLAPS),
         (15, ["isolate", "cut_from_leader", "outage"]),
-        (16, CRASHES + STORE + CUTS + MACHINES + ONE_WAY + COPIES + FLAPS),
+        (
+            16,
+            CRASHES + STORE_FAULTS + CUTS + MACHINE_FAULTS + ONE_WAY_CUTS + MESSAGE_COPIES + FLAPS,
+        ),
         (17, FREEZES),
         (18, [*FREEZES, "copies", "outage", "cut_worker"]),
         # Seeds that once exposed a fault, each with the fault:
@@ -220,14 +224,14 @@
         # the machines for a spread gang were all provisioned in one zone
         (147, ["cut_controller", "cut_state", "lossy"]),
         # failures of a single job never revealed an unhealthy machine
-        (183, CRASHES + STORE + CUTS + MACHINES),
+        (183, CRASHES + STORE_FAULTS + CUTS + MACHINE_FAULTS),
     ],
 )
 def test_the_rules_hold_on_a_whole_day(seed: int, kinds: list[str]) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = World(loop, seed, [controller_settings(i) for i in range(3)])
-        loop.run_until_complete(day(world, kinds))
+        loop.run_until_complete(play_day(world, kinds))
         assert world.broken == []
         assert world.starts > 20
 
@@ -245,7 +249,7 @@
             "kit": "img-0", "run_s": 20.0, "reckon_s": 15.0,
         }  # fmt: skip
 
-    with virtual(5) as loop:
+    with virtual_loop(5) as loop:
         world = World(loop, 5, [controller_settings(i) for i in range(3)])
 
         async def submit_steadily() -> None:
@@ -267,7 +271,7 @@
     cut off, some receive nothing, and copies of heartbeats arrive late. No machine that is alive
     and connected may be deleted or lose its tasks."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(21) as loop:
+    with virtual_loop(21) as loop:
         replace = msgspec.structs.replace
         base = [controller_settings(i) for i in range(3)]
         teams = [Team("blue")]  # without limits
@@ -321,7 +325,7 @@
 @pytest.mark.parametrize("leads", [True, False])
 def test_a_controller_without_store_and_peers_turns_unhealthy(leads: bool) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(9) as loop:
+    with virtual_loop(9) as loop:
         world = World(loop, 9, [controller_settings(i) for i in range(3)])
 
         async def play() -> None:
@@ -356,10 +360,10 @@
     """Some arrays and gangs fail on every machine until they are cancelled, while the leader
     crashes: the other jobs are served, and no healthy machine is quarantined."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = World(loop, seed, [controller_settings(i) for i in range(3)])
         world.users.failing_share = 0.25
-        loop.run_until_complete(day(world, ["unhealthy", "crash_leader", "crash_leader"]))
+        loop.run_until_complete(play_day(world, ["unhealthy", "crash_leader", "crash_leader"]))
         assert world.broken == []
         assert any(job.get("mistaken") for job in world.jobs.values())
 
@@ -369,7 +373,7 @@
     second allowed, while the leader crashes: each is done, none runs twice, and the small jobs
     don't wait long."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(41) as loop:
+    with virtual_loop(41) as loop:
         replace = msgspec.structs.replace
         base = [controller_settings(i) for i in range(3)]
         store = replace(base[0].params.state, rps=80.0, write_rps=15.0)
@@ -417,7 +421,7 @@
     reads the store for all of them: its request rate must suffice, and every user must get an
     answer."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(51) as loop:
+    with virtual_loop(51) as loop:
         world = World(loop, 51, [controller_settings(i) for i in range(3)])
 
         async def play() -> None:
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -23,19 +23,19 @@
 from tests.sim.net import VirtualLoop
 from tests.sim.sites import controller_settings, controller_text, controller_text_with_next_limits
 from tests.sim.test_days import (
-    COPIES,
     CRASHES,
     CUTS,
     FLAPS,
     FREEZES,
-    MACHINES,
-    ONE_WAY,
-    STORE,
+    MACHINE_FAULTS,
+    MESSAGE_COPIES,
+    ONE_WAY_CUTS,
+    STORE_FAULTS,
     cut,
     draw_job,
-    virtual,
+    virtual_loop,
 )
-from tests.sim.test_days import day as whole_day
+from tests.sim.test_days import play_day as whole_day
 from tests.sim.world import World
 
 ON = Operator(duties=DutySettings())
@@ -90,7 +90,7 @@
 
 def play(seed: int, day: Callable[[World, DutyHistory], Awaitable[None]], size: int = 3) -> None:
     """The day, and after it the faults that the model has found."""
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = new_world(loop, seed, size)
         history = DutyHistory(world)
 
@@ -417,7 +417,7 @@
             await asyncio.sleep(4.0)
         await submit(world, 1)
 
-    with virtual(590) as loop:
+    with virtual_loop(590) as loop:
         # It leads first: only once it has ended, duties are on.
         world = new_world(loop, 590)
         history = DutyHistory(world)
@@ -453,7 +453,7 @@
         await asyncio.gather(*jobs)
         assert world.leader() is not None
 
-    with virtual(600) as loop:
+    with virtual_loop(600) as loop:
         world = new_world(loop, 600)
         history = DutyHistory(world)
         loop.run_until_complete(day(world, history))
@@ -533,7 +533,7 @@
         return made
 
     monkeypatch.setattr(Writer, "_transaction", unconditional)
-    with virtual(530) as loop:
+    with virtual_loop(530) as loop:
         world = new_world(loop, 530)
         history = DutyHistory(world)
 
@@ -566,14 +566,17 @@
 @pytest.mark.parametrize(
     ("seed", "kinds"),
     [
-        (6, CRASHES + STORE + CUTS + MACHINES),
+        (6, CRASHES + STORE_FAULTS + CUTS + MACHINE_FAULTS),
         (14, FLAPS),
-        (16, CRASHES + STORE + CUTS + MACHINES + ONE_WAY + COPIES + FLAPS),
+        (
+            16,
+            CRASHES + STORE_FAULTS + CUTS + MACHINE_FAULTS + ONE_WAY_CUTS + MESSAGE_COPIES + FLAPS,
+        ),
         (18, [*FREEZES, "copies", "outage", "cut_worker"]),
     ],
 )
 def test_a_day_keeps_the_rules_with_duties_on(seed: int, kinds: list[str]) -> None:
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = new_world(loop, seed)
         history = DutyHistory(world)
         loop.run_until_complete(whole_day(world, kinds))
@@ -585,7 +588,7 @@
 def test_what_holds_if_an_older_version_is_left_in() -> None:
     """Operators are told to upgrade all first. One that does not know of duties may lead and act
     by itself; from then on no holder's action is accepted, so there are never two that act."""
-    with virtual(630) as loop:
+    with virtual_loop(630) as loop:
         world = new_world(loop, 630)
         history = DutyHistory(world)
         commit = production.recorded()
--- a/tests/sim/test_http.py
+++ b/tests/sim/test_http.py
@@ -18,7 +18,7 @@
 from peathall.operator_config.settings import Operator
 from peathall.protocol.heartbeats import Heartbeat
 from tests.sim.net import HOST, Host, VirtualLoop
-from tests.sim.test_days import controller_settings, virtual
+from tests.sim.test_days import controller_settings, virtual_loop
 
 
 async def echo(request: Request) -> Response:
@@ -38,7 +38,7 @@
 
 
 def run(play: Callable[[VirtualLoop], Awaitable[None]]) -> None:
-    with virtual(1) as loop:
+    with virtual_loop(1) as loop:
         context = contextvars.copy_context()
         context.run(HOST.set, Host("10.0.0.1"))
         loop.run_until_complete(context.run(loop.create_task, play(loop)))  # type: ignore[arg-type]
--- a/tests/sim/test_larger.py
+++ b/tests/sim/test_larger.py
@@ -17,7 +17,7 @@
 from peathall.store.writer import Writer
 from peathall.workers.image_cache import ImageCacheRecords
 from tests.sim.fleet_day import FleetPlayer
-from tests.sim.test_days import virtual
+from tests.sim.test_days import virtual_loop
 from tests.unit.test_store import lead
 
 MACHINES = 4000
@@ -27,7 +27,7 @@
     """The fleet has more machines than fit in a page of the machine list, in a deletion request or
     in a provision request, and more than there are sockets for direct commands."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(21) as loop:
+    with virtual_loop(21) as loop:
         player = FleetPlayer(loop, constants.MACHINE_LIST_PAGE_SIZE + 100)
 
         async def day() -> None:
--- a/tests/sim/test_limits_fall.py
+++ b/tests/sim/test_limits_fall.py
@@ -21,7 +21,7 @@
     draw_daemon,
     lengthen_some,
 )
-from tests.sim.test_days import draw_job, virtual
+from tests.sim.test_days import draw_job, virtual_loop
 from tests.sim.world import World
 
 # The day with unchanged limits is played once and shared.
@@ -118,7 +118,7 @@
     to that commit is lost if `lose_response`. The controllers' settings name the lower limits only
     if `announced`."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(SEED) as loop:
+    with virtual_loop(SEED) as loop:
         unaware = [controller_settings(i) for i in range(3)]
         texts = [controller_text_with_next_limits(i, write_rps=write_rps) for i in range(3)]
         aware = [parse(text) for text in texts]
@@ -216,7 +216,7 @@
     """With a rate of three changes per second and up to twelve changes allowed in a transaction, no
     transaction has more than three changes, and all jobs end."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(SEED) as loop:
+    with virtual_loop(SEED) as loop:
         texts = [
             controller_text(i).replace("write_rps = 60.0", "write_rps = 3.0") for i in range(3)
         ]
--- a/tests/sim/test_services.py
+++ b/tests/sim/test_services.py
@@ -14,7 +14,7 @@
 from tests.sim.net import Host
 from tests.sim.sites import controller_settings
 from tests.sim.test_combined_failures import draw_daemon
-from tests.sim.test_days import draw_job, virtual
+from tests.sim.test_days import draw_job, virtual_loop
 from tests.sim.worker import Worker
 from tests.sim.world import World
 
@@ -90,7 +90,7 @@
     trouble: Callable[[World, Worker], None], longest_s: float
 ) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(77) as loop:
+    with virtual_loop(77) as loop:
         world = World(loop, 77, [controller_settings(i) for i in range(3)])
 
         async def play() -> None:
@@ -129,7 +129,7 @@
     """The response comes at once. A repeated submission of a known job gets 200 even if it is
     invalid."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(75) as loop:
+    with virtual_loop(75) as loop:
         world = World(loop, 75, [controller_settings(i) for i in range(3)])
 
         async def play() -> None:
--- a/tests/sim/test_upgrade.py
+++ b/tests/sim/test_upgrade.py
@@ -18,7 +18,7 @@
     draw_daemon,
     lengthen_some,
 )
-from tests.sim.test_days import submit_random_jobs, virtual
+from tests.sim.test_days import submit_random_jobs, virtual_loop
 from tests.sim.world import World
 
 # A version that supports daemons; controllers may be upgraded from it as well.
@@ -145,7 +145,7 @@
 )
 def test_the_rules_hold_during_a_rolling_upgrade(seed: int, order: list[int], leading: str) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = world_before_upgrade(loop, seed)
         loop.run_until_complete(rollout(world, order, leading))
         assert world.broken == []
@@ -164,7 +164,7 @@
     seed: int, order: list[int], leading: str
 ) -> None:
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = world_before_upgrade(loop, seed, size=5)
         loop.run_until_complete(rollout(world, order, leading))
         assert world.broken == []
@@ -184,7 +184,7 @@
 ) -> None:
     """Daemons run from the beginning, and both versions keep them running."""
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = world_before_upgrade(loop, seed, size=len(order), commit=COMMIT_WITH_DAEMONS)
         loop.run_until_complete(rollout(world, order, leading, daemons_before=True))
         assert world.broken == []
@@ -213,7 +213,7 @@
     logging.getLogger("peathall").setLevel(logging.CRITICAL)
     detected = []
     for seed, leading in ((71, "in order"), (73, "first"), (77, "last")):
-        with virtual(seed) as loop:
+        with virtual_loop(seed) as loop:
             world = world_before_upgrade(loop, seed, change)
             try:
                 loop.run_until_complete(rollout(world, [0, 1, 2], leading))
