--- a/bench/larger.py
+++ b/bench/larger.py
@@ -22,7 +22,7 @@
 from peathall.operator_config.settings import OperatorSettings
 from tests.sim.fleet_day import FleetDayRunner
 from tests.sim.net import Host, MemoryTransport, VirtualLoop
-from tests.sim.test_days import virtual
+from tests.sim.test_days import virtual_loop
 from tests.sim.world import World
 
 STEADY_S = 15.0  # time over which the steady load is measured
@@ -52,7 +52,7 @@
 
 def run_fleet(machines: int, share: float, cells: bool) -> None:
     began = time.monotonic()
-    with virtual(21) as loop:
+    with virtual_loop(21) as loop:
         player = FleetDayRunner(loop, machines, share)
         if cells:
             player.world.controller_hosts.operators = dict.fromkeys(
--- a/bench/spill.py
+++ b/bench/spill.py
@@ -25,7 +25,7 @@
 
 from peathall.operator_config.settings import OperatorSettings
 from tests.sim.cells_world import LEASE_S, Cells
-from tests.sim.test_days import virtual
+from tests.sim.test_days import virtual_loop
 
 CELLS = 3
 WEIGHTS = [0.6, 0.25, 0.15]  # of bursts
@@ -99,7 +99,7 @@
 
 
 def run_seed(seed: int, seconds: float, spilling: bool, outcome: Outcome) -> None:
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         cells = Cells(loop, seed, CELLS)
         for world in cells.worlds:
             for index, operator in world.controller_hosts.operators.items():
@@ -142,7 +142,7 @@
 def measure_take_back(times: int) -> None:
     histogram = HdrHistogram(1, 3_600_000, 3)
     for seed in range(1, times + 1):
-        with virtual(seed) as loop:
+        with virtual_loop(seed) as loop:
             seconds = loop.run_until_complete(take_back_once(Cells(loop, seed, 2)))
             histogram.record_value(int(1000 * seconds))
     worker_lapse_s = 12.0 * 1.001 + 1.0  # lapse_s of the tests' sites
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -24,19 +24,19 @@
 from tests.sim.net import VirtualLoop
 from tests.sim.sites import controller_settings, controller_text, controller_text_with_next_limits
 from tests.sim.test_days import (
-    COPIES,
     CRASHES,
     CUTS,
     FLAPS,
     FREEZES,
-    MACHINES,
-    ONE_WAY,
-    STORE,
+    MACHINE_FAULTS,
+    MESSAGE_COPIES,
+    ONE_WAY_CUTS,
+    STORE_FAULTS,
     cut,
     draw_job,
-    virtual,
+    virtual_loop,
 )
-from tests.sim.test_days import day as whole_day
+from tests.sim.test_days import play_day as whole_day
 from tests.sim.world import World
 
 DUTIES_ON = OperatorSettings(duties=DutySettings())
@@ -95,7 +95,7 @@
     seed: int, scenario: Callable[[World, SimulatedDutyChecker], Awaitable[None]], size: int = 3
 ) -> None:
     """Runs the scenario, waits until no action is unfinished, and checks the rules."""
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = world_with_duties(loop, seed, size)
         checker = SimulatedDutyChecker(world)
 
@@ -430,7 +430,7 @@
             await asyncio.sleep(4.0)
         await submit(world, 1)
 
-    with virtual(590) as loop:
+    with virtual_loop(590) as loop:
         # Controller 0 may lead at first and act without duties: only the site's rules are checked.
         world = world_with_duties(loop, 590)
         checker = SimulatedDutyChecker(world)
@@ -472,7 +472,7 @@
         await asyncio.gather(*jobs)
         assert world.leader() is not None
 
-    with virtual(600) as loop:
+    with virtual_loop(600) as loop:
         world = world_with_duties(loop, 600)
         checker = SimulatedDutyChecker(world)
         loop.run_until_complete(scenario(world, checker))
@@ -555,7 +555,7 @@
         return transaction
 
     monkeypatch.setattr(Writer, "_transaction", unconditional)
-    with virtual(530) as loop:
+    with virtual_loop(530) as loop:
         world = world_with_duties(loop, 530)
         checker = SimulatedDutyChecker(world)
 
@@ -588,14 +588,17 @@
 @pytest.mark.parametrize(
     ("seed", "kinds"),
     [
-        (6, CRASHES + STORE + CUTS + MACHINES),
+        (6, CRASHES + STORE_FAULTS + CUTS + MACHINE_FAULTS),
         (14, FLAPS),
-        (16, CRASHES + STORE + CUTS + MACHINES + ONE_WAY + COPIES + FLAPS),
+        (
+            16,
+            CRASHES + STORE_FAULTS + CUTS + MACHINE_FAULTS + ONE_WAY_CUTS + MESSAGE_COPIES + FLAPS,
+        ),
         (18, [*FREEZES, "copies", "outage", "cut_worker"]),
     ],
 )
 def test_a_day_keeps_the_rules_with_duties_on(seed: int, kinds: list[str]) -> None:
-    with virtual(seed) as loop:
+    with virtual_loop(seed) as loop:
         world = world_with_duties(loop, seed)
         checker = SimulatedDutyChecker(world)
         loop.run_until_complete(whole_day(world, kinds))
@@ -608,7 +611,7 @@
     """Operators are told to upgrade all controllers before duties are on. A controller of an older
     version, which does not know duties, may still become leader and act on the cloud itself. From
     then on no holder's action is accepted, since it depends on the leader that requested it."""
-    with virtual(630) as loop:
+    with virtual_loop(630) as loop:
         world = world_with_duties(loop, 630)
         checker = SimulatedDutyChecker(world)
         commit = production.deployed_commit()
