--- a/tests/sim/day_record.py
+++ b/tests/sim/day_record.py
@@ -15,7 +15,7 @@
         self.accepted: set[str] = set()  # jobs whose submission was confirmed
         self.submitted: dict[str, float] = {}  # job -> when its submission was confirmed
         self.begun: dict[str, float] = {}  # job -> when its first task was on a machine
-        self.cancelled: dict[str, float] = {}  # job -> when a user was first told so
+        self.cancelled: dict[str, float] = {}  # job -> when a user was first told of it
         self.last_response: dict[str, str] = {}  # job -> status in the last response to its user
         self.starts = 0  # attempts that were placed on machines
         self.starts_after_cancel = 0
--- a/tests/sim/state.py
+++ b/tests/sim/state.py
@@ -33,7 +33,7 @@
         self.value_kb, self.txn_ops = 8.0, 12
         self.page_size = 7  # keys; small, so that scans take several pages
         self.rate_limits: tuple[float, float] = (1e9, 1e9)  # requests/s and changes/s
-        self.limit_used = [0.0, 0.0]  # used part of the burst, for the same two
+        self.limit_used = [0.0, 0.0]  # used part of the burst of each rate
         self.limit_used_at = 0.0
         self.requests = self.refused = 0
 
--- a/tests/sim/test_cells.py
+++ b/tests/sim/test_cells.py
@@ -1,5 +1,5 @@
-"""Cells on the virtual clock: whatever crashes, freezes or is partitioned, each job runs in one
-cell at a time."""
+"""Cells on the virtual clock: whatever crashes, freezes or is partitioned, each job runs once, as a
+whole, in one cell at a time."""
 
 from __future__ import annotations
 
@@ -418,7 +418,8 @@
 
 
 def test_transactions_stay_within_smaller_limits_of_the_state_service() -> None:
-    """2 KiB per value, 4 changes per transaction: the stand-in counts more as a violation."""
+    """2 KiB per value, 4 changes per transaction: the simulated state service refuses larger ones,
+    which counts as a violation."""
 
     async def scenario(cells: Cells) -> None:
         for world in cells.worlds:
--- a/tests/sim/test_duties.py
+++ b/tests/sim/test_duties.py
@@ -431,7 +431,8 @@
         await submit(world, 1)
 
     with virtual_loop(590) as loop:
-        # Controller 0 may lead at first and act without duties: only the site's rules are checked.
+        # Controller 0 may lead at first and act without duties, which are on only after it has
+        # crashed: only the site's rules are checked.
         world = world_with_duties(loop, 590)
         checker = SimulatedDutyChecker(world)
         loop.run_until_complete(scenario(world, checker))
--- a/tests/sim/test_services.py
+++ b/tests/sim/test_services.py
@@ -28,7 +28,7 @@
 
 
 async def missing_s(world: World, names: list[str], seconds: float) -> dict[str, float]:
-    """For how many of the coming seconds each of the replicas ran on no machine."""
+    """For how many of the coming seconds each replica ran on no machine, in steps of 0.05 s."""
     missing = dict.fromkeys(names, 0.0)
     deadline = world.loop.now + seconds
     while world.loop.now < deadline:
@@ -65,7 +65,7 @@
 
 
 def quarantine(world: World, worker: Worker) -> None:
-    """The leader drains the machine as unhealthy."""
+    """The leader drains the machine as unhealthy, as it does when tasks that start there fail."""
     controller = world.controllers[world.leader() or 0][1]
     controller.leader.workers.quarantine(
         controller.leader.cluster.machines[worker.name], "it is sick"
--- a/tests/unit/test_jobs.py
+++ b/tests/unit/test_jobs.py
@@ -101,8 +101,9 @@
 
 
 def test_a_late_record_of_a_follower_never_makes_an_archived_job_live_again() -> None:
-    """The leader accepts a job, and later a write of a follower that had accepted it too is carried
-    out. Once the job is archived, the follower's record would make it live again at a failover."""
+    """The leader accepts a job, and so does a follower, whose write gets no response and is carried
+    out late. Once the job is archived, the follower's record would make it live again at a
+    failover."""
 
     async def run() -> None:
         store = FakeStore()
@@ -184,7 +185,7 @@
             job = jobs.cluster.jobs["j-1"]
             assert (listener.stopped, job.phase) == (["j-1"], JobPhase.CANCELLING)
             assert not job.is_final
-            assert jobs.cached_response("j-1") is None  # it may be cancelled or not
+            assert jobs.cached_response("j-1") is None  # neither the old nor the new status
             assert (await cancelling)[1]["standing"] == "aborted"  # type: ignore[index]
             assert job.phase is JobPhase.CANCELLED
 
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -211,7 +211,7 @@
     assert preempted_tasks(JobView(spec(priority=1), 1, urgent=False), full_machine(2)) == []
     # A job within its team's quota also preempts other teams' work of its own priority that is not
     # within theirs. If it could preempt work of higher priority as well, the two jobs would preempt
-    # each other in every round.
+    # each other in turns, twice a second.
     assert preempted_tasks(JobView(spec(), 1, within_quota=True), full_machine(2)) == [("j-9", 0)]
     assert preempted_tasks(JobView(spec(), 1, within_quota=True), full_machine(1)) == []
     assert (
--- a/tests/unit/test_store.py
+++ b/tests/unit/test_store.py
@@ -407,7 +407,7 @@
         reads_before = store.reads
         assert await statuses("j-1", "j-2") == ["done", "aborted"]
         assert store.reads == reads_before  # a final status never changes
-        store.first_reported_after = store.revision  # needs a new scan
+        store.first_reported_after = store.revision  # cached one too old: scans anew
         store.write("live/job/j-5", {"id": "j-5"})
         assert await statuses("j-3", "j-5") == ["queued", "queued"]
 
--- a/tests/unit/test_stored_format.py
+++ b/tests/unit/test_stored_format.py
@@ -218,7 +218,7 @@
         if condition():
             return
         await asyncio.sleep(0)
-    raise AssertionError(f"condition not met: {details()}")
+    raise AssertionError(f"not reached: {details()}")
 
 
 def assert_written(store: RecordingStore, expected: dict[str, list[Any]]) -> None:
