--- a/bench/cells_real.py
+++ b/bench/cells_real.py
@@ -27,8 +27,8 @@
 from peathall.http.client import HttpClient, NoAnswerError
 
 CELLS, CONTROLLERS, MACHINES = 3, 3, 4
-TASK_S = 20.0
-LEASE_S = 14.0
+TASK_S = 20.0  # run time of every task
+LEASE_S = 14.0  # of handoffs
 BURST_GANGS = 7  # gangs submitted at once; a cell has room for 4
 BURST_GAP_S = 30.0
 
@@ -59,8 +59,8 @@
 
 
 async def inject_faults(sites: list[Site], rng: random.Random, counts: dict[str, int]) -> None:
-    """Kills or freezes leaders of random cells, without end. A freeze is shorter or longer than
-    the lease."""
+    """Kills or freezes leaders of random cells until it is cancelled. A freeze is shorter than the
+    leader's lease (3 s), longer than it, or longer than the lease of handoffs."""
     while True:
         await asyncio.sleep(rng.uniform(4.0, 10.0))
         site = rng.choice(sites)
@@ -113,7 +113,7 @@
     await asyncio.sleep(20.0)  # time for handoffs to end and their records to be deleted
 
 
-class Judge:
+class LogChecker:
     """Checks the merged logs of all stand-ins: overlapping runs of a task, and handoff records that
     are never deleted."""
 
@@ -180,7 +180,7 @@
     finally:
         for site in sites:
             site.kill_all()
-    judge = Judge()
+    checker = LogChecker()
     entries = [
         (line["at"], cell, line)
         for cell, site in enumerate(sites)
@@ -188,21 +188,23 @@
         for line in read_log(site.folder / name)
     ]
     for _, cell, line in sorted(entries, key=lambda entry: entry[0]):
-        judge.check_line(cell, line)
-    twice = judge.completed_twice()
+        checker.check_line(cell, line)
+    twice = checker.completed_twice()
     print(
         f"seed {args.seed}: {counts['kills']} kills, {counts['freezes']} freezes in"
         f" {time.monotonic() - began:.0f} s; {counts['done']} of {counts['jobs']} jobs done;"
-        f" {len(judge.handoffs)} handoffs granted; {judge.handoff_changes} of {judge.changes}"
+        f" {len(checker.handoffs)} handoffs granted; {checker.handoff_changes} of {checker.changes}"
         f" stored changes are of handoffs; tasks completed twice {len(twice)} {twice[:3]};"
-        f" handoff records left {len(judge.open_records)};"
-        f" faults {len(judge.faults)} {judge.faults[:3]}"
+        f" handoff records left {len(checker.open_records)};"
+        f" faults {len(checker.faults)} {checker.faults[:3]}"
     )
     if args.keep:
         print(f"logs in {folder}")
     else:
         shutil.rmtree(folder, ignore_errors=True)
-    sys.exit(bool(judge.faults or twice or judge.open_records or counts["done"] < counts["jobs"]))
+    sys.exit(
+        bool(checker.faults or twice or checker.open_records or counts["done"] < counts["jobs"])
+    )
 
 
 if __name__ == "__main__":
--- a/bench/combined_failures.py
+++ b/bench/combined_failures.py
@@ -35,7 +35,7 @@
     first_class = site["jobs"][0]["name"]
     last_class = site["jobs"][-1]["name"]
     zone = site["machines"][-1]["zone"]
-    t = site.get("warmup_s", 60.0) + 20.0  # when the first faults begin
+    t = site.get("warmup_s", 60.0) + 20.0  # base of the fault times; some begin up to 15 s earlier
     state_refuses = {"from_state": True, "mode": "refuse"}
     user_faults = [
         fault(t - 15, "close_looks", for_s=160.0),
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -84,14 +84,14 @@
             for (j, t), a in busiest.attempts.items()
         ],
     }  # fmt: skip
-    rounds = 200
+    repeats = 200
     began = time.process_time()
-    for tick in range(rounds):
+    for tick in range(repeats):
         raw = codec.encode_cbor(heartbeat | {"tick": tick})
         decoded = decode_heartbeat(codec.decode_cbor_map(raw))
         _, response = workers.handle_heartbeat(decoded, now)
         codec.encode_cbor(response)
-    heartbeat_s = (time.process_time() - began) / rounds
+    heartbeat_s = (time.process_time() - began) / repeats
     job_kind = "starving jobs" if starving else "jobs"
     print(
         f"{machines:4d} machines, {jobs:4d} {job_kind}: round with empty fleet "
--- a/bench/freezes.py
+++ b/bench/freezes.py
@@ -206,7 +206,7 @@
     return [orjson.loads(line) for line in path.read_bytes().splitlines()]
 
 
-class Judge(DutyChecker):
+class LogChecker(DutyChecker):
     """Checks the merged logs of both stand-ins, and records how long each duty had no holder."""
 
     def __init__(self) -> None:
@@ -245,31 +245,31 @@
         jobs, done, kills = asyncio.run(run_workload(site, args.freezes, random.Random(args.seed)))
     finally:
         site.kill_all()
-    judge = Judge()
+    checker = LogChecker()
     lines = sorted(
         read_log(folder / "store.log") + read_log(folder / "cloud.log"), key=lambda line: line["at"]
     )
     for line in lines:
-        judge.check_line(line)
-    vacancy_s = [judge.vacancies_ms.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 100)]
+        checker.check_line(line)
+    vacancy_s = [checker.vacancies_ms.get_value_at_percentile(p) / 1000 for p in (50, 90, 99, 100)]
     seconds = time.monotonic() - began
     freezes = args.freezes - kills
     figures = [
         f"seed {args.seed}: {freezes} freezes, {kills} kills in {seconds:.0f} s",
         f"{done} of {jobs} jobs done",
-        f"{judge.actions} intents, {judge.claims} claims",
+        f"{checker.actions} intents, {checker.claims} claims",
         f"duties without a holder for p50 {vacancy_s[0]:.2f} p90 {vacancy_s[1]:.2f} "
         f"p99 {vacancy_s[2]:.2f} longest {vacancy_s[3]:.2f} s",
-        f"{judge.duty_changes} of {judge.changes} stored changes are of duties",
-        f"unfinished actions {len(judge.unfinished_actions)}, "
-        f"faults {len(judge.faults)} {judge.faults[:3]}",
+        f"{checker.duty_changes} of {checker.changes} stored changes are of duties",
+        f"unfinished actions {len(checker.unfinished_actions)}, "
+        f"faults {len(checker.faults)} {checker.faults[:3]}",
     ]
     print("; ".join(figures))
     if args.keep:
         print(f"logs in {folder}")
     else:
         shutil.rmtree(folder, ignore_errors=True)
-    sys.exit(bool(judge.faults or judge.unfinished_actions or done < jobs))
+    sys.exit(bool(checker.faults or checker.unfinished_actions or done < jobs))
 
 
 if __name__ == "__main__":
--- a/bench/larger.py
+++ b/bench/larger.py
@@ -53,29 +53,29 @@
 def run_fleet(machines: int, share: float, cells: bool) -> None:
     began = time.monotonic()
     with virtual_loop(21) as loop:
-        player = FleetDayRunner(loop, machines, share)
+        runner = FleetDayRunner(loop, machines, share)
         if cells:
-            player.world.controller_hosts.operators = dict.fromkeys(
-                range(player.world.size), OPERATORS_WITH_CELLS
+            runner.world.controller_hosts.operators = dict.fromkeys(
+                range(runner.world.size), OPERATORS_WITH_CELLS
             )
 
         async def run_steps() -> int:
-            await player.provision(STEP_TIMEOUT_S)
-            if player.leader() is None:
+            await runner.provision(STEP_TIMEOUT_S)
+            if runner.leader() is None:
                 return 0
-            await player.steady(STEADY_S)
-            leader = player.leader()
+            await runner.steady(STEADY_S)
+            leader = runner.leader()
             state_bytes = (
                 reachable_bytes([leader.cluster, leader.workers.tracking.exits]) if leader else 0
             )
             if leader is not None:
-                await player.fail_over(STEP_TIMEOUT_S)
-            if player.leader() is not None:
-                await player.lose_machines(STEP_TIMEOUT_S)
+                await runner.fail_over(STEP_TIMEOUT_S)
+            if runner.leader() is not None:
+                await runner.lose_machines(STEP_TIMEOUT_S)
             return state_bytes
 
         state_bytes = loop.run_until_complete(run_steps())
-    figures = player.finish()
+    figures = runner.finish()
     print(
         f"{machines} machines, share {share or 1.0:g}: provisioned and filled after "
         f"{figures.provisioned_s:.0f} s, steady {figures.steady_share:.3f} of a core, "
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -6,8 +6,9 @@
 cell has its own stand-ins of state service and cloud; settings and operators' files stay the same.
 Stages: the earlier version writes the data; this version starts with it; both versions run side by
 side, each leading in each cell in turn; the earlier version starts with all data written so far. In
-every stage jobs are submitted, cancelled and queried at every controller. Prints a line for each
-stage and each fault; exit code 1 if there is a fault.
+every stage jobs are submitted and cancelled at random controllers, and queried at every controller
+of their cell. At the end the logs of stand-ins and controllers are checked. Prints a line for each
+stage, a line of figures, and a line for each of at most 20 faults; exit code 1 if there is a fault.
 """
 
 from __future__ import annotations
@@ -29,33 +30,34 @@
 
 import orjson
 
-from bench.cells_real import Judge, operator_config
+from bench.cells_real import LogChecker, operator_config
 from bench.freezes import ROOT, Site, read_log
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
 
-CONTROLLERS, MACHINES, TASK_S = 3, 4, 6.0
+CONTROLLERS, MACHINES, TASK_S = 3, 4, 6.0  # the first two are per cell
 EARLIER, CURRENT = "earlier", "current"
 FINAL_STATUSES = ("done", "aborted")
-STORED_PREFIXES = (
+STORED_PREFIXES = (  # of keys; a run must change records under each of them
     "live/", "done/", "past/", "round/", "cache/", "lead", "term", "duties/", "duty-act/",
     "handoff/", "borrowed/",
 )  # fmt: skip
 SETTLE_TIMEOUT_S = 120.0  # from the start of a stage until all jobs must have ended
-LEADER_TIMEOUT_S = 60.0  # until a controller of the wanted version must lead
+LEADER_TIMEOUT_S = 60.0  # for a controller of the wanted version to become leader
 
 
 class VersionedSite(Site):
-    """The processes of one cell; each controller is of the version that `versions` names."""
+    """The processes of one cell; `versions` names the version of each controller."""
 
     def __init__(self, folder: Path, sources: dict[str, Path]) -> None:
         super().__init__(folder, CONTROLLERS, MACHINES)
         self.sources = sources
         self.versions = [EARLIER] * CONTROLLERS
-        self.starts: Counter[int] = Counter()
+        self.starts: Counter[int] = Counter()  # by index of the controller
 
     def start(self, index: int) -> subprocess.Popen[bytes]:
-        """Start one controller in its current version; each start logs to a new file."""
+        """Start one controller in the version set for it; each start logs to a new file. Python
+        finds `peathall` beside the started run.py, before the path in PYTHONPATH."""
         self.starts[index] += 1
         log = self.folder / f"{self.versions[index]}-{index}-{self.starts[index]}.stderr"
         with log.open("wb") as stderr:
@@ -80,15 +82,16 @@
         self.controllers = [self.start(index) for index in range(CONTROLLERS)]
 
     async def leader(self) -> int | None:
-        """The index of the controller that says that it leads."""
+        """Index of the controller that says it leads; None if none does."""
         for index, port in enumerate(self.peer_ports):
             status, value = await request_json(port, "GET", "/ping")
             if status == 200 and value["leads"]:
                 return index
         return None
 
-    async def make_leader(self, version: str) -> bool:
-        """Stop all controllers of other versions until one of this version leads."""
+    async def make_version_lead(self, version: str) -> bool:
+        """Kill all controllers of the other version, and start them again once one of this version
+        leads; False if none leads in time."""
         others = [index for index in range(CONTROLLERS) if self.versions[index] != version]
         for index in others:
             self.kill(index)
@@ -130,18 +133,18 @@
         return 0, None
 
 
-def job_body(number: int, **change: Any) -> dict[str, Any]:
+def job_body(number: int, **overrides: Any) -> dict[str, Any]:
     return {
         "id": f"j-{number:06d}", "docket": "c", "desk": "red", "shape": "sweep",
         "precedence": "high", "parcels": 2, "vcpus": 1.0, "cards": 0.0, "ram_gb": 1.0,
         "together": False, "scatter": False, "standby": False, "kit": "img", "image_gb": 0.1,
         "reckon_s": TASK_S, "tally_s": 0.0, "stow_s": 0.0,
-    } | change  # fmt: skip
+    } | overrides  # fmt: skip
 
 
 @dataclass
 class Job:
-    """A submitted job and the status that controllers have answered."""
+    """A submitted job and its final status as answered by controllers."""
 
     site: VersionedSite
     body: dict[str, Any]
@@ -154,51 +157,53 @@
 
 
 @dataclass
-class Run:
-    """All jobs, counts of answered requests, and the faults found."""
+class StageRunner:
+    """Runs the stages; keeps all jobs, counts of answered requests, and the faults found."""
 
     sites: list[VersionedSite]
     rng: random.Random
     jobs: list[Job] = field(default_factory=list)
     faults: list[str] = field(default_factory=list)
-    # Answered requests by operation, version of the asked controller, version of the leader.
+    # Answered requests by operation, version of the asked controller and version of the leader.
     answered: Counter[tuple[str, str, str]] = field(default_factory=Counter)
-    # Duties seen with a holder, by version of the holder, version of the leader.
+    # Duties seen with a holder, by version of the holder and version of the leader.
     holders: Counter[tuple[str, str]] = field(default_factory=Counter)
 
     async def ask(self, job: Job, operation: str, index: int) -> int:
-        """Submit, cancel or query a job at one controller, and check the response."""
+        """Submit, cancel or query a job at one controller, check the response and return its
+        status code."""
         site = job.site
         method, path, value = {
             "submit": ("POST", "/work", job.body),
             "cancel": ("POST", f"{job.path}/withdraw", {}),
             "query": ("GET", job.path, None),
         }[operation]
-        final = job.final
+        final_before = job.final
         leader = await site.leader()
         status, answer = await request_cbor(site.api_ports[index], method, path, value)
         if status in (200, 201):
             if leader is not None:
                 self.answered[operation, site.versions[index], site.versions[leader]] += 1
-            self.check(job, answer["standing"], final)
+            self.check_status(job, answer["standing"], final_before)
         elif status not in (0, 503):
             self.faults.append(f"{operation} of {job.body['id']} answered {status} {answer}")
         return status
 
-    def check(self, job: Job, status: str, final: str) -> None:
-        """Check a response with a job's status. `final` is the final status that had been answered
-        before the request, if any."""
+    def check_status(self, job: Job, status: str, final_before: str) -> None:
+        """Check an answered status of a job. `final_before` is the final status that had been
+        answered before the request; empty if none had been."""
         job_id = job.body["id"]
-        if final and status != final:
-            self.faults.append(f"{job_id} is {status} after {final}")
+        if final_before and status != final_before:
+            self.faults.append(f"{job_id} is {status} after {final_before}")
         if status == "aborted" and not job.cancelled:
             self.faults.append(f"{job_id} is aborted but was not cancelled")
         if status in FINAL_STATUSES:
             job.final = job.final or status
 
-    async def submit(self, site: VersionedSite, cancel: bool = False, **change: Any) -> None:
-        """Submit a job to the controllers in turn until one accepts it; cancel it if asked to."""
-        job = Job(site, job_body(len(self.jobs), **change))
+    async def submit(self, site: VersionedSite, cancel: bool = False, **overrides: Any) -> None:
+        """Submit a job to the controllers in turn until one accepts it. With `cancel`, cancel it
+        after at most half of a task's run time."""
+        job = Job(site, job_body(len(self.jobs), **overrides))
         self.jobs.append(job)
         turn = self.rng.randrange(CONTROLLERS)
         while await self.ask(job, "submit", turn % CONTROLLERS) not in (200, 201):
@@ -209,14 +214,15 @@
             await self.cancel(job)
 
     async def cancel(self, job: Job) -> None:
+        """Send cancellations to random controllers until one answers a final status."""
         job.cancelled = True
         while job.final == "":
             await self.ask(job, "cancel", self.rng.randrange(CONTROLLERS))
             await asyncio.sleep(0.5)
 
     async def stage(self, name: str) -> None:
-        """Submit jobs to both cells, among them more urgent gangs than the first cell can run, and
-        wait until all have ended."""
+        """Submit jobs to both cells and wait until all have ended. The first cell gets 10 urgent
+        gangs but has room for 4, so the rest wait or are handed off to the second cell."""
         began = time.monotonic()
         first, second = self.sites
         submissions = [self.submit(first, shape="daemon", cancel=True)]
@@ -250,6 +256,7 @@
         )
 
     async def submit_later(self, submission: Any) -> None:
+        """Await the submission after a random delay, so that submissions overlap."""
         await asyncio.sleep(self.rng.uniform(0.0, 4.0))
         await submission
 
@@ -265,7 +272,7 @@
                     self.faults.append(f"no answer about {job.body['id']} from controller {index}")
 
     async def note_holders(self) -> None:
-        """Count the versions of duty holders together with that of the leader."""
+        """Count the duties that have a holder, by the versions of the holder and of the leader."""
         for site in self.sites:
             leader = await site.leader()
             status, value = await request_json(
@@ -275,7 +282,7 @@
                 continue
             for duty in value["duties"]:
                 if duty["holder"]:
-                    holder = int(duty["holder"][-1])
+                    holder = int(duty["holder"][-1])  # the name ends with the index
                     self.holders[site.versions[holder], site.versions[leader]] += 1
 
     async def run_stages(self) -> None:
@@ -292,7 +299,7 @@
             (EARLIER, CURRENT), (CURRENT, EARLIER), (EARLIER, EARLIER), (CURRENT, CURRENT),
         ):  # fmt: skip
             for site, version in zip(self.sites, leaders, strict=True):
-                if not await site.make_leader(version):
+                if not await site.make_version_lead(version):
                     self.faults.append(f"no controller of the {version} version leads")
             await self.stage(f"both, led by {leaders[0]} and {leaders[1]}")
         for site in self.sites:
@@ -314,8 +321,8 @@
                 self.faults.append(f"no duty was held by {pair[0]} while {pair[1]} led")
 
 
-class MixedJudge(Judge):
-    """The judge of cells_real, with the run time of this program's tasks."""
+class MixedLogChecker(LogChecker):
+    """The checks of cells_real, with the run time of this program's tasks."""
 
     def check_line(self, cell: int, line: dict[str, Any]) -> None:
         super().check_line(cell, line)
@@ -325,7 +332,7 @@
 
 
 def unpack(commit: str, folder: Path) -> Path:
-    """Write the sources of that commit to the folder."""
+    """Write the sources of the commit to the folder, and return the folder."""
     archive = subprocess.run(
         ["git", "-C", str(ROOT), "archive", commit, "peathall", "run.py"],
         capture_output=True, check=True,
@@ -335,10 +342,10 @@
     return folder
 
 
-def judge_logs(sites: list[VersionedSite]) -> tuple[list[str], Counter[str]]:
-    """Faults found in the logs of stand-ins and controllers; number of stored changes by key
-    prefix."""
-    judge = MixedJudge()
+def check_logs(sites: list[VersionedSite]) -> tuple[list[str], Counter[str]]:
+    """Check the logs of stand-ins and controllers: the checks of cells_real, and errors logged by
+    controllers. Returns the faults, and the number of stored changes by key prefix."""
+    checker = MixedLogChecker()
     changes_by_prefix: Counter[str] = Counter()
     faults: list[str] = []
     entries = [
@@ -348,15 +355,15 @@
         for line in read_log(site.folder / name)
     ]
     for _, cell, line in sorted(entries, key=lambda entry: entry[0]):
-        judge.check_line(cell, line)
+        checker.check_line(cell, line)
         if line["kind"] == "commit":
             for change in line["apply"]:
                 key = change.get("write", change.get("drop"))
                 changes_by_prefix.update(
                     prefix for prefix in STORED_PREFIXES if key.startswith(prefix)
                 )
-    faults += judge.faults
-    faults += [f"handoff record left: {entry}" for entry in judge.open_records]
+    faults += checker.faults
+    faults += [f"handoff record left: {entry}" for entry in checker.open_records]
     faults += [
         f"nothing stored under {prefix}"
         for prefix in STORED_PREFIXES
@@ -382,24 +389,24 @@
     for cell in range(2):
         (folder / str(cell)).mkdir()
         sites.append(VersionedSite(folder / str(cell), sources))
-    run = Run(sites, random.Random(args.seed))
+    runner = StageRunner(sites, random.Random(args.seed))
     began = time.monotonic()
     try:
         for cell, site in enumerate(sites):
             site.start_all(operator_config(cell, sites) + "duties { lease_s: 2 }\n", TASK_S)
-        asyncio.run(run.run_stages())
+        asyncio.run(runner.run_stages())
     finally:
         for site in sites:
             site.kill_all()
-    faults, changes_by_prefix = judge_logs(sites)
-    faults = run.faults + faults
-    done = sum(job.final == "done" for job in run.jobs)
-    aborted = sum(job.final == "aborted" for job in run.jobs)
+    faults, changes_by_prefix = check_logs(sites)
+    faults = runner.faults + faults
+    done = sum(job.final == "done" for job in runner.jobs)
+    aborted = sum(job.final == "aborted" for job in runner.jobs)
     print(
         f"seed {args.seed}, {args.commit}, {time.monotonic() - began:.0f} s: {done} jobs done,"
-        f" {aborted} cancelled, of {len(run.jobs)}; stored changes by key"
+        f" {aborted} cancelled, of {len(runner.jobs)}; stored changes by key"
         f" {dict(changes_by_prefix)}; duty holders by version of holder and leader"
-        f" {dict(run.holders)}; faults {len(faults)}"
+        f" {dict(runner.holders)}; faults {len(faults)}"
     )
     for fault in faults[:20]:
         print(f"fault: {fault}")
--- a/bench/spill.py
+++ b/bench/spill.py
@@ -45,8 +45,8 @@
     jobs: int = 0
     late: int = 0  # started later than the objective of 15 s
     useful_s: float = 0.0  # run time of all tasks
-    rented_s: float = 0.0  # of all machines
-    changes: int = 0
+    rented_s: float = 0.0  # time for which machines existed, over all machines
+    changes: int = 0  # of records in the state services
     handoffs: int = 0
     busy_s: float = 0.0  # processor time of all controllers
     faults: list[str] = field(default_factory=list)
@@ -104,8 +104,8 @@
         for world in cells.worlds:
             for index, operator in world.controller_hosts.operators.items():
                 without_cells = OperatorSettings(idle_hold_s=IDLE_HOLD_S)
-                spills = msgspec.structs.replace(operator, idle_hold_s=IDLE_HOLD_S)
-                world.controller_hosts.operators[index] = spills if spilling else without_cells
+                with_cells = msgspec.structs.replace(operator, idle_hold_s=IDLE_HOLD_S)
+                world.controller_hosts.operators[index] = with_cells if spilling else without_cells
         loop.run_until_complete(run_day(cells, seconds, numpy.random.default_rng(seed), outcome))
         add_figures(cells, outcome)
 
@@ -145,7 +145,9 @@
         with virtual_loop(seed) as loop:
             seconds = loop.run_until_complete(take_back_once(Cells(loop, seed, 2)))
             histogram.record_value(int(1000 * seconds))
-    worker_lapse_s = 12.0 * 1.001 + 1.0  # lapse_s of the tests' sites
+    # The longest that a machine cut off keeps its tasks on the tests' sites: the workers' lease of
+    # 12 s plus clock drift and a margin.
+    worker_lapse_s = 12.0 * 1.001 + 1.0
     bound_s = LEASE_S * 1.001 + worker_lapse_s * 1.001
     print(f"job taken back after {histogram.get_min_value() / 1000:.1f} to"
           f" {histogram.get_max_value() / 1000:.1f} s ({times} times); bound {bound_s:.1f} s after"
--- a/bench/stand_in.py
+++ b/bench/stand_in.py
@@ -3,9 +3,11 @@
     python3 bench/stand_in.py store PORT LOG
     python3 bench/stand_in.py cloud PORT LOG CONTROLLER... [--machines N] [--task-s S]
 
-Used by bench/freezes.py, bench/cells_real.py and bench/mixed_versions.py. A stand-in appends each
-request that it accepts to LOG, one line of JSON with the monotonic time. The cloud's machines run
-workers, which send heartbeats to the controllers; every task runs for `--task-s` seconds.
+Used by bench/freezes.py, bench/cells_real.py and bench/mixed_versions.py. Each line of LOG is a
+JSON object with the monotonic time. The store appends each transaction that it accepts; the cloud
+appends each request to create or delete machines, and each start and early stop of a task. The
+cloud's machines run workers, which send heartbeats to the controllers; every task runs for
+`--task-s` seconds.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
 
 
 class Log:
-    """Log file of accepted requests, one JSON object per line."""
+    """Log file of a stand-in, one JSON object per line."""
 
     def __init__(self, path: str) -> None:
         self.path = Path(path)
@@ -118,6 +120,7 @@
                 await asyncio.sleep(HEARTBEAT_S)
                 continue
             leader_name = response.get("steward")
+            # The leader's name ends with its index.
             index = int(leader_name[-1]) if leader_name else (index + 1) % len(clients)
             await asyncio.sleep(0.2 if leader_name else 0.5)
 
@@ -140,7 +143,7 @@
 
 
 class Cloud:
-    """Creates and deletes machines, and logs each request that it carries out."""
+    """Creates and deletes machines, and logs each such request that it carries out."""
 
     def __init__(self, log: Log, controllers: list[str], machines: int, task_s: float) -> None:
         self.log, self.controllers = log, controllers
