--- /dev/null
+++ b/bench/mixed_versions.py
@@ -0,0 +1,398 @@
+"""Controllers of an earlier commit and of this version together, as real processes on loopback.
+
+    PYTHONPATH=.:target/deps python3 bench/mixed_versions.py --commit 917f999
+
+Two cells of three controllers with duties and cells on, each cell with stand-ins of its own, the
+same settings and operators' files throughout. Stages: the earlier version writes the data; this
+version starts on it; both run side by side, each leading in each cell in turn; the earlier version
+starts on what was written. In every stage jobs are submitted, cancelled and asked for at every
+controller. Prints a line for each stage and each fault; exit code 1 if there is a fault.
+"""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import io
+import random
+import shutil
+import subprocess
+import sys
+import tarfile
+import tempfile
+import time
+from collections import Counter
+from dataclasses import dataclass, field
+from pathlib import Path
+from typing import Any
+
+import orjson
+
+from bench.cells_real import Judge, operator
+from bench.freezes import ROOT, Site, read
+from peathall.http.client import HttpClient, NoAnswerError
+from peathall.protocol import codec
+
+SIZE, MACHINES, TASK_S = 3, 4, 6.0
+EARLIER, CURRENT = "earlier", "current"
+FINAL = ("done", "aborted")
+STORED = (
+    "live/", "done/", "past/", "round/", "cache/", "lead", "term", "duties/", "duty-act/",
+    "handoff/", "borrowed/",
+)  # fmt: skip
+SETTLE_S = 120.0  # within which all jobs of a stage have ended
+LEADER_S = 60.0  # within which a controller of the wanted version leads
+
+
+class VersionedSite(Site):
+    """The processes of one cell; each controller is of the version that `versions` names."""
+
+    def __init__(self, folder: Path, sources: dict[str, Path]) -> None:
+        super().__init__(folder, SIZE, MACHINES)
+        self.sources = sources
+        self.versions = [EARLIER] * SIZE
+        self.starts: Counter[int] = Counter()
+
+    def start(self, index: int) -> subprocess.Popen[bytes]:
+        """Start one controller of its version; its log goes to a file of its own."""
+        self.starts[index] += 1
+        log = self.folder / f"{self.versions[index]}-{index}-{self.starts[index]}.stderr"
+        with log.open("wb") as stderr:
+            return subprocess.Popen(
+                [
+                    sys.executable, str(self.sources[self.versions[index]] / "run.py"),
+                    "--operator-config", str(self.folder / "peathall.textproto"),
+                    "--config", str(self.folder / f"{index}.toml"),
+                ],
+                env=self.environment, stderr=stderr,
+            )  # fmt: skip
+
+    def kill(self, index: int) -> None:
+        self.nodes[index].kill()
+        self.nodes[index].wait()
+
+    def restart_all(self, versions: list[str]) -> None:
+        """Kill all controllers, then start them with these versions on the same data."""
+        for index in range(SIZE):
+            self.kill(index)
+        self.versions = list(versions)
+        self.nodes = [self.start(index) for index in range(SIZE)]
+
+    async def leader(self) -> int | None:
+        """The index of the controller that says that it leads."""
+        for index, port in enumerate(self.back):
+            status, value = await request_json(port, "GET", "/ping")
+            if status == 200 and value["leads"]:
+                return index
+        return None
+
+    async def make_leader(self, version: str) -> bool:
+        """Stop all controllers of other versions until one of this version leads."""
+        others = [index for index in range(SIZE) if self.versions[index] != version]
+        for index in others:
+            self.kill(index)
+        deadline = time.monotonic() + LEADER_S
+        leader = None
+        while leader is None and time.monotonic() < deadline:
+            await asyncio.sleep(0.5)
+            leader = await self.leader()
+        for index in others:
+            self.nodes[index] = self.start(index)
+        return leader is not None
+
+    def ended_by_themselves(self) -> list[int]:
+        return [index for index, node in enumerate(self.nodes) if node.poll() is not None]
+
+
+async def request_json(port: int, method: str, path: str) -> tuple[int, Any]:
+    """Status and body of a controller's response at its peer address; status 0 without one."""
+    client = HttpClient(f"127.0.0.1:{port}", "application/json", keep=0)
+    try:
+        status, raw = await client.request(method, path, b"", 2.0)
+        return status, orjson.loads(raw) if raw else None
+    except (NoAnswerError, orjson.JSONDecodeError):
+        return 0, None
+
+
+async def request(port: int, method: str, path: str, value: Any = None) -> tuple[int, Any]:
+    """Status and body of a controller's response to a user; status 0 without one."""
+    body = b"" if value is None else codec.cbor_bytes(value)
+    try:
+        client = HttpClient(f"127.0.0.1:{port}", keep=0)
+        status, raw = await client.request(method, path, body, 3.0)
+        return status, codec.cbor_any(raw)
+    except NoAnswerError:
+        return 0, None
+
+
+def job_body(number: int, **change: Any) -> dict[str, Any]:
+    return {
+        "id": f"j-{number:06d}", "docket": "c", "desk": "red", "shape": "sweep",
+        "precedence": "high", "parcels": 2, "vcpus": 1.0, "cards": 0.0, "ram_gb": 1.0,
+        "together": False, "scatter": False, "standby": False, "kit": "img", "image_gb": 0.1,
+        "reckon_s": TASK_S, "tally_s": 0.0, "stow_s": 0.0,
+    } | change  # fmt: skip
+
+
+@dataclass
+class Job:
+    """A submitted job and what was answered about it."""
+
+    site: VersionedSite
+    body: dict[str, Any]
+    cancelled: bool = False  # a cancellation was sent
+    final: str = ""  # the final status, once answered
+
+    @property
+    def path(self) -> str:
+        return f"/work/{self.body['id']}"
+
+
+@dataclass
+class Run:
+    """All jobs, what was answered, and the faults found."""
+
+    sites: list[VersionedSite]
+    rng: random.Random
+    jobs: list[Job] = field(default_factory=list)
+    faults: list[str] = field(default_factory=list)
+    # Answered requests by operation, version of the asked controller, version of the leader.
+    answered: Counter[tuple[str, str, str]] = field(default_factory=Counter)
+    # Duties seen with a holder, by version of the holder, version of the leader.
+    holders: Counter[tuple[str, str]] = field(default_factory=Counter)
+
+    async def ask(self, job: Job, operation: str, index: int) -> int:
+        """Submit, cancel or query a job at one controller, and check the response."""
+        site = job.site
+        method, path, value = {
+            "submit": ("POST", "/work", job.body),
+            "cancel": ("POST", f"{job.path}/withdraw", {}),
+            "query": ("GET", job.path, None),
+        }[operation]
+        final = job.final
+        leader = await site.leader()
+        status, answer = await request(site.api[index], method, path, value)
+        if status in (200, 201):
+            if leader is not None:
+                self.answered[operation, site.versions[index], site.versions[leader]] += 1
+            self.check(job, answer["standing"], final)
+        elif status not in (0, 503):
+            self.faults.append(f"{operation} of {job.body['id']} answered {status} {answer}")
+        return status
+
+    def check(self, job: Job, status: str, final: str) -> None:
+        """One response with a job's status; `final` is what was answered before the request."""
+        job_id = job.body["id"]
+        if final and status != final:
+            self.faults.append(f"{job_id} is {status} after {final}")
+        if status == "aborted" and not job.cancelled:
+            self.faults.append(f"{job_id} is aborted, and nobody cancelled it")
+        if status in FINAL:
+            job.final = job.final or status
+
+    async def submit(self, site: VersionedSite, cancel: bool = False, **change: Any) -> None:
+        """Submit a job at the controllers by turns until it is accepted; perhaps cancel it."""
+        job = Job(site, job_body(len(self.jobs), **change))
+        self.jobs.append(job)
+        turn = self.rng.randrange(SIZE)
+        while await self.ask(job, "submit", turn % SIZE) not in (200, 201):
+            turn += 1
+            await asyncio.sleep(0.3)
+        if cancel:
+            await asyncio.sleep(self.rng.uniform(0.0, TASK_S / 2))
+            await self.cancel(job)
+
+    async def cancel(self, job: Job) -> None:
+        job.cancelled = True
+        while job.final == "":
+            await self.ask(job, "cancel", self.rng.randrange(SIZE))
+            await asyncio.sleep(0.5)
+
+    async def stage(self, name: str) -> None:
+        """Jobs at both cells, among them a burst of urgent gangs that the first can't all run."""
+        began = time.monotonic()
+        first, second = self.sites
+        waiting = [self.submit(first, shape="daemon", cancel=True)]
+        waiting += [
+            self.submit(site, cancel=n % 3 == 0, parcels=1 + n % 4)
+            for site in self.sites
+            for n in range(9)
+        ]
+        waiting += [
+            self.submit(first, docket="urgent", shape="ensemble", vcpus=4.0, parcels=1)
+            for _ in range(10)
+        ]
+        waiting += [self.submit(second, shape="ensemble", parcels=2) for _ in range(3)]
+        await asyncio.gather(*(self.later(job) for job in waiting))
+        while any(not job.final for job in self.jobs):
+            if time.monotonic() - began > SETTLE_S:
+                left = [job.body["id"] for job in self.jobs if not job.final]
+                self.faults.append(f"{name}: not ended after {SETTLE_S:g} s: {left}")
+                break
+            await self.query_all([job for job in self.jobs if not job.final])
+            await self.note_holders()
+            await asyncio.sleep(1.0)
+        await self.query_all(self.jobs)
+        for site in self.sites:
+            for index in site.ended_by_themselves():
+                self.faults.append(f"{name}: controller {index} ended by itself")
+        versions = " ".join("+".join(site.versions) for site in self.sites)
+        print(
+            f"{name} ({versions}): {len(self.jobs)} jobs so far, {len(self.faults)} faults",
+            flush=True,
+        )
+
+    async def later(self, submission: Any) -> None:
+        await asyncio.sleep(self.rng.uniform(0.0, 4.0))
+        await submission
+
+    async def query_all(self, jobs: list[Job]) -> None:
+        """Ask for each job at every controller of its cell, until each has answered."""
+        for job in jobs:
+            for index in range(SIZE):
+                for _ in range(40):
+                    if await self.ask(job, "query", index) == 200:
+                        break
+                    await asyncio.sleep(0.5)
+                else:
+                    self.faults.append(f"{job.body['id']} is not answered by controller {index}")
+
+    async def note_holders(self) -> None:
+        """The versions of duty holders beside that of the leader."""
+        for site in self.sites:
+            leader = await site.leader()
+            status, value = await request_json(
+                site.back[self.rng.randrange(SIZE)], "POST", "/duties"
+            )
+            if status != 200 or leader is None:
+                continue
+            for duty in value["duties"]:
+                if duty["holder"]:
+                    holder = int(duty["holder"][-1])
+                    self.holders[site.versions[holder], site.versions[leader]] += 1
+
+    async def play(self) -> None:
+        await asyncio.sleep(3.0)
+        await self.stage("earlier version writes")
+        for site in self.sites:
+            site.restart_all([CURRENT] * SIZE)
+        await self.stage("current version on its data")
+        for site, versions in zip(
+            self.sites, ([EARLIER, CURRENT, CURRENT], [CURRENT, EARLIER, EARLIER]), strict=True
+        ):
+            site.restart_all(versions)
+        for leaders in (
+            (EARLIER, CURRENT), (CURRENT, EARLIER), (EARLIER, EARLIER), (CURRENT, CURRENT),
+        ):  # fmt: skip
+            for site, version in zip(self.sites, leaders, strict=True):
+                if not await site.make_leader(version):
+                    self.faults.append(f"no controller of the {version} version leads")
+            await self.stage(f"both, led by {leaders[0]} and {leaders[1]}")
+        for site in self.sites:
+            site.restart_all([EARLIER] * SIZE)
+        await self.stage("earlier version on all data")
+        await asyncio.sleep(20.0)  # borrowed jobs come to their end
+        self.check_mix()
+
+    def check_mix(self) -> None:
+        """Each operation was answered at each version while each version led."""
+        for operation in ("submit", "cancel", "query"):
+            for asked in (EARLIER, CURRENT):
+                for leader in (EARLIER, CURRENT):
+                    if not self.answered[operation, asked, leader]:
+                        self.faults.append(f"no {operation} at {asked} while {leader} led")
+        for pair in ((EARLIER, CURRENT), (CURRENT, EARLIER)):
+            if not self.holders[pair]:
+                self.faults.append(f"no duty was held by {pair[0]} while {pair[1]} led")
+
+
+class MixedJudge(Judge):
+    """The judge of cells_real, for the runtime of the tasks here."""
+
+    def follow(self, cell: int, line: dict[str, Any]) -> None:
+        super().follow(cell, line)
+        if line["kind"] == "start":
+            start, _, where = self.runs[line["task"]][-1]
+            self.runs[line["task"]][-1] = (start, start + TASK_S, where)
+
+
+def unpack(commit: str, folder: Path) -> Path:
+    """The sources of that commit, from the repository's history."""
+    archive = subprocess.run(
+        ["git", "-C", str(ROOT), "archive", commit, "peathall", "run.py"],
+        capture_output=True, check=True,
+    )  # fmt: skip
+    with tarfile.open(fileobj=io.BytesIO(archive.stdout)) as tar:
+        tar.extractall(folder, filter="data")
+    return folder
+
+
+def judge_logs(sites: list[VersionedSite]) -> tuple[list[str], Counter[str]]:
+    """Faults in the logs of stand-ins and controllers; stored changes by kind of key."""
+    judge = MixedJudge()
+    kinds: Counter[str] = Counter()
+    faults: list[str] = []
+    lines = [
+        (line["at"], cell, line)
+        for cell, site in enumerate(sites)
+        for name in ("store.log", "cloud.log")
+        for line in read(site.folder / name)
+    ]
+    for _, cell, line in sorted(lines, key=lambda entry: entry[0]):
+        judge.follow(cell, line)
+        if line["kind"] == "commit":
+            for change in line["apply"]:
+                key = change.get("write", change.get("drop"))
+                kinds.update(kind for kind in STORED if key.startswith(kind))
+    faults += judge.faults
+    faults += [f"left over: {entry}" for entry in judge.open]
+    faults += [f"nothing stored under {kind}" for kind in STORED if not kinds[kind]]
+    for cell, site in enumerate(sites):
+        for log in sorted(site.folder.glob("*.stderr")):
+            for text in log.read_text().splitlines():
+                if " ERROR " in text or text.startswith("Traceback"):
+                    faults.append(f"cell {cell} {log.name}: {text}")
+    return faults, kinds
+
+
+def main() -> None:
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--commit", required=True, help="the earlier version")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--keep", action="store_true", help="keep the logs, to read them")
+    args = parser.parse_args()
+    folder = Path(tempfile.mkdtemp(prefix="mixed-"))
+    sources = {EARLIER: unpack(args.commit, folder / "earlier"), CURRENT: ROOT}
+    sites = []
+    for cell in range(2):
+        (folder / str(cell)).mkdir()
+        sites.append(VersionedSite(folder / str(cell), sources))
+    run = Run(sites, random.Random(args.seed))
+    began = time.monotonic()
+    try:
+        for cell, site in enumerate(sites):
+            site.start_all(operator(cell, sites) + "duties { lease_s: 2 }\n", TASK_S)
+        asyncio.run(run.play())
+    finally:
+        for site in sites:
+            site.end()
+    faults, kinds = judge_logs(sites)
+    faults = run.faults + faults
+    done = sum(job.final == "done" for job in run.jobs)
+    aborted = sum(job.final == "aborted" for job in run.jobs)
+    print(
+        f"seed {args.seed}, {args.commit}, {time.monotonic() - began:.0f} s: {done} jobs done,"
+        f" {aborted} cancelled, of {len(run.jobs)}; changes by key {dict(kinds)};"
+        f" holder beside leader {dict(run.holders)}; faults {len(faults)}"
+    )
+    for fault in faults[:20]:
+        print(f"fault: {fault}")
+    if args.keep:
+        print(f"logs in {folder}")
+    else:
+        shutil.rmtree(folder, ignore_errors=True)
+    sys.exit(bool(faults))
+
+
+if __name__ == "__main__":
+    main()
