--- a/bench/scaled_day.py
+++ b/bench/scaled_day.py
@@ -1,10 +1,10 @@
-"""A day of a site file with more machines and load, to be played with `--small`.
+"""Prints a day of a site file with machines and load scaled by a factor, to run with `--small`.
 
     python3 bench/scaled_day.py SITE.toml DAY 1.5 > larger.toml
     fleetbench run SITE.toml larger.toml --small
 
-DAY is a day of the site, or a TOML file that holds one.
-The bench plays a day that has a `small` table at the size given there, which may also be larger.
+DAY is the name of a day in the site file, or a TOML file that contains one. With `--small`,
+fleetbench takes the size from the day's `small` table, which may be larger than the site's size.
 """
 
 from __future__ import annotations
