--- a/bench/freezes.py
+++ b/bench/freezes.py
@@ -27,7 +27,7 @@
 
 from peathall.http.client import HttpClient, NoAnswerError
 from peathall.protocol import codec
-from tests.sim.duty_history import DutyJudge
+from tests.sim.duty_checker import DutyChecker
 
 ROOT = Path(__file__).resolve().parents[1]
 SIZE = 5
@@ -203,7 +203,7 @@
     return [orjson.loads(line) for line in path.read_bytes().splitlines()]
 
 
-class Judge(DutyJudge):
+class Judge(DutyChecker):
     """Of the logs of both stand-ins, in order; counts how long duties were vacant."""
 
     def __init__(self) -> None:
@@ -215,15 +215,15 @@
         if line["kind"] == "commit":
             keys = [op.get("write") or op["drop"] for op in line["apply"]]
             self.duty_changes += sum(key.startswith(("duties/", "duty-act/")) for key in keys)
-            self.commit(line)
+            self.check_commit(line)
         elif line["kind"] == "delete":
-            self.deleted(line["machines"])
+            self.check_deletion(line["machines"])
         elif line["kind"] == "rent":
-            self.rented(line["request"], line["machines"])
+            self.check_provision(line["request"], line["machines"])
 
-    def claimed(self, duty: str, record: dict[str, Any]) -> None:
+    def check_claim(self, duty: str, record: dict[str, Any]) -> None:
         before = self.holders.get(duty)
-        super().claimed(duty, record)
+        super().check_claim(duty, record)
         if before is not None and before != record:
             self.vacant.record_value(max(1, int(1000 * record["vacant_s"])))
 
@@ -258,14 +258,15 @@
         f"vacant until claimed p50 {times[0]:.2f} p90 {times[1]:.2f} p99 {times[2]:.2f} longest "
         f"{times[3]:.2f} s",
         f"{judge.duty_changes} of {judge.changes} changes are of duties",
-        f"unfinished {len(judge.open)}, faults {len(judge.faults)} {judge.faults[:3]}",
+        f"unfinished {len(judge.unfinished_actions)}, "
+        f"faults {len(judge.faults)} {judge.faults[:3]}",
     ]
     print("; ".join(told))
     if args.keep:
         print(f"logs in {folder}")
     else:
         shutil.rmtree(folder, ignore_errors=True)
-    sys.exit(bool(judge.faults or judge.open or done < jobs))
+    sys.exit(bool(judge.faults or judge.unfinished_actions or done < jobs))
 
 
 if __name__ == "__main__":
