--- a/peathall/protocol/__init__.py
+++ b/peathall/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The only place that knows the protocol's field names: messages in and out, and their encoding."""
+"""Messages of the external protocol, and their encoding. No other package knows its field names."""
--- a/peathall/protocol/cloud.py
+++ b/peathall/protocol/cloud.py
@@ -1,7 +1,7 @@
-"""The cloud's interface: machine types, the machine list, provision and deletion requests.
+"""API of the cloud provider: machine types, the machine list, provision and deletion requests.
 
 ===============  ==================================================
-protocol         here
+name on the wire name in this program
 ===============  ==================================================
 builds, build    machine types, type
 label            name, of a machine type
@@ -11,7 +11,6 @@
 pull_gb_per_s    fetch_gb_per_s
 rate             price
 market_price     spot_price
-startup_s        boot_s
 wards, ward      zones, zone
 halls, id        machines, name of a machine
 endpoint         addr
@@ -22,7 +21,8 @@
 how_many         count
 ===============  ==================================================
 
-Machine types are stored in the state service in the protocol's spelling, for any version to read.
+Records of machine types in the state service have the names of the wire, so that controllers of
+any version can read them.
 """
 
 from __future__ import annotations
@@ -41,22 +41,22 @@
 
 
 class MachineType(Struct, frozen=True):
-    """A type of machine that the cloud provisions."""
+    """A machine type that the cloud provisions."""
 
     name: str
     cpus: float
     gpus: float
     ram: float  # GB
-    cache_gb: float  # disk for images
+    cache_gb: float  # disk space of the image cache
     fetch_gb_per_s: float  # rate at which a machine downloads images
     price: float  # per hour
-    spot_price: float  # per hour, as it is now
+    spot_price: float  # per hour, at present
     startup_s: float  # usual startup time
-    zones: list[str]  # those that have machines of this type
+    zones: list[str]  # that offer machines of this type
 
 
 def decode_machine_type(raw: dict[str, Any]) -> MachineType:
-    """A machine type as the cloud, or the record of it, describes it."""
+    """Decode a machine type of the cloud's response, or of its record in the state service."""
     price = float(raw.get("rate") or 0.0)
     return MachineType(
         name=str(raw["label"]),
@@ -73,7 +73,7 @@
 
 
 def encode_machine_type(machine_type: MachineType) -> dict[str, Any]:
-    """A machine type as the cloud describes it."""
+    """Encode a machine type in the form of the cloud's response."""
     return {
         "label": machine_type.name,
         "vcpus": machine_type.cpus,
@@ -89,55 +89,55 @@
 
 
 def decode_machine_types(raw: dict[str, Any]) -> list[MachineType]:
-    """The machine types in the cloud's response, or in the record of them."""
+    """Decode the cloud's response, or the record in the state service."""
     return [decode_machine_type(item) for item in raw["builds"]]
 
 
 def encode_machine_types(machine_types: list[MachineType]) -> dict[str, Any]:
-    """The record of machine types, in the form of the cloud's response."""
+    """Encode the record of machine types, which has the form of the cloud's response."""
     return {"builds": [encode_machine_type(machine_type) for machine_type in machine_types]}
 
 
 class MachineState(StrEnum):
-    """State of a machine in the cloud's list; the values are the protocol's words."""
+    """State of a machine in the cloud's list; the values are those of the wire."""
 
     STARTING = "starting"
     RUNNING = "running"
     FAILED = "failed"  # stopped by itself; listed until it is deleted, but not charged
-    UNKNOWN = "unknown"  # ours, for a word that is not known
+    UNKNOWN = "unknown"  # stands for any other value
 
 
 _MACHINE_STATES = {state.value: state for state in MachineState}
 
 
 class ListedMachine(Struct, frozen=True):
-    """A machine of the cloud's list."""
+    """An entry of the cloud's machine list."""
 
     name: str
-    addr: str  # host:port of its worker; empty if it is not known
+    addr: str  # host:port of its worker; empty if not known
     type: str
     zone: str
     spot: bool
     state: MachineState
-    age_s: float  # since it was provisioned
+    age_s: float  # time since it was provisioned
 
 
 class MachinePage(Struct, frozen=True):
-    """A part of the cloud's machine list."""
+    """A page of the cloud's machine list."""
 
     machines: list[ListedMachine]
-    more: bool  # machines follow after the last of these
+    more: bool  # another page follows
 
 
 def machine_page_path(size: int, after: str) -> str:
-    """Path and query of a page of at most `size` machines that follow the machine `after`; the
-    first page is after the empty name."""
+    """Path and query of a page of at most `size` machines. It begins behind the machine `after`,
+    or at the start of the list if `after` is empty."""
     path = f"{MACHINES_PATH}?most={size}"
     return f"{path}&after={quote(after)}" if after else path
 
 
 def decode_listed_machine(raw: dict[str, Any]) -> ListedMachine:
-    """A machine as the list describes it."""
+    """Decode an entry of the machine list."""
     return ListedMachine(
         name=str(raw["id"]),
         addr=str(raw.get("endpoint") or ""),
@@ -150,7 +150,7 @@
 
 
 def decode_machine_page(raw: dict[str, Any]) -> MachinePage:
-    """A page of the machine list."""
+    """Decode a page of the machine list."""
     machines = [decode_listed_machine(item) for item in raw["halls"]]
     return MachinePage(machines, bool(raw.get("more")))
 
@@ -158,7 +158,7 @@
 def encode_provision_request(
     name: str, machine_type: str, zone: str, spot: bool, count: int
 ) -> dict[str, Any]:
-    """The body of a request for machines; one repeated under its name provisions nothing more."""
+    """The body of a provision request, which is idempotent: the cloud provisions once per name."""
     return {
         "hire": name,
         "build": machine_type,
@@ -169,7 +169,7 @@
 
 
 def decode_provisioned_machines(raw: dict[str, Any]) -> list[str]:
-    """The names of the machines that a provision request gave."""
+    """Decode the names of the machines that a provision request has created."""
     return [str(name) for name in raw["halls"]]
 
 
@@ -179,6 +179,6 @@
 
 
 def is_capacity_error(raw: Any) -> bool:
-    """Whether the body of a 503 says that the cloud has no such machines left, rather than that it
-    failed."""
+    """Whether a 503 response with this body means that the cloud has no such machines left, rather
+    than that the cloud is unavailable."""
     return "capacity" in decode_error(raw)
--- a/peathall/protocol/decode_cache.py
+++ b/peathall/protocol/decode_cache.py
@@ -1,4 +1,4 @@
-"""A cache of decoded values that keeps what is asked for again."""
+"""A cache of decoded values that evicts those no longer requested."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class DecodeCache(Generic[Key, Value]):
-    """Results of a decoding function in two generations.
+    """Results of a decoding function, cached for two generations.
 
-    A result that was not asked for during a whole generation is evicted, so the size follows what
-    is in use. An LRU cache of fixed size would find nothing once more keys than it holds come again
-    and again in the same order, as the tasks of all machines do.
+    A result that is not requested during a whole generation is evicted, so the size follows the
+    number of keys in use. An LRU cache of fixed size would never hit once the keys that recur in
+    the same order, as the tasks of all machines do, outnumber its entries.
     """
 
     def __init__(self, decode: Callable[[Key], Value]) -> None:
@@ -23,8 +23,8 @@
         self._previous: dict[Key, Value] = {}
 
     def __call__(self, key: Key) -> Value:
-        """The decoded value of the key: the same object as before if the cache still has it.
-        Whatever the decoding function raises is passed on, and not kept."""
+        """The decoded value of the key: the same object as before while it is cached. Exceptions of
+        the decoding function are passed on, and not cached."""
         found = self._current.get(key)
         if found is None:
             found = self._previous.get(key)
@@ -34,9 +34,9 @@
         return found
 
     def __len__(self) -> int:
-        """Number of results in both generations."""
+        """Number of cached results in both generations."""
         return len(self._current | self._previous)
 
     def begin_generation(self) -> None:
-        """Evict what was not asked for since this was last called."""
+        """Evict the results that were not requested since the previous call."""
         self._previous, self._current = self._current, {}
--- a/peathall/protocol/errors.py
+++ b/peathall/protocol/errors.py
@@ -1,4 +1,4 @@
-"""Bodies of responses that refuse a request."""
+"""Bodies of error responses."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 def encode_error(reason: str) -> dict[str, Any]:
-    """The body of a response that refuses a request, for a person to read."""
+    """The body of an error response, with a reason for people to read."""
     return {"error": reason}
 
 
 def decode_error(raw: Any) -> str:
-    """The reason in such a body; empty if it has none."""
+    """The reason in the body of an error response; empty if it has none."""
     return str((raw or {}).get("error", ""))
--- a/peathall/protocol/fields.py
+++ b/peathall/protocol/fields.py
@@ -1,4 +1,4 @@
-"""Types of fields that several messages share, with the bounds that are checked."""
+"""Field types that several messages share, with their validated bounds."""
 
 from __future__ import annotations
 
--- a/peathall/protocol/heartbeats.py
+++ b/peathall/protocol/heartbeats.py
@@ -1,7 +1,7 @@
-"""Heartbeats of workers, and the commands that the leader answers them with.
+"""Heartbeats of workers, and the commands that the leader sends in response.
 
 ===============  ==================================================
-protocol         here
+name on the wire name in this program
 ===============  ==================================================
 hall             machine
 endpoint         addr
@@ -37,30 +37,30 @@
 from peathall.protocol.decode_cache import DecodeCache
 from peathall.protocol.fields import Text
 
-HEARTBEAT_PATH = "/checkin"  # of a controller: a worker's heartbeat
-COMMANDS_PATH = "/commands"  # of a worker: commands that do not wait for its next heartbeat
+HEARTBEAT_PATH = "/checkin"  # on a controller: heartbeats of workers
+COMMANDS_PATH = "/commands"  # on a worker: commands that do not wait for its next heartbeat
 
 
 class TaskState(Enum):
-    """State of a task on its machine; the values are the protocol's words."""
+    """State of a task on its machine; the values are those of the wire."""
 
     FETCHING = "pulling"  # its image is being downloaded
-    WAITING = "waiting"  # a task of a gang, ready, until all others are ready too
+    WAITING = "waiting"  # ready to run, until all tasks of its gang are ready
     RUNNING = "running"
-    CHECKPOINTING = "flushing"  # saves its progress before it stops
+    CHECKPOINTING = "flushing"  # saving its progress before it stops
     EXITED = "exited"
 
 
 class ExitReason(Enum):
-    """Why a task has ended; the values are the protocol's words."""
+    """Why a task has ended; the values are those of the wire."""
 
-    DONE = "done"  # it succeeded
+    DONE = "done"  # succeeded
     STOPPED = "halted"  # by a stop command
     PEER_LOST = "mates_gone"  # another task of its gang ended
-    GANG_INCOMPLETE = "incomplete"  # its gang did not become complete in time
-    ERROR = "error"  # it failed by itself
-    NO_CAPACITY = "full"  # the start was rejected: the machine has too little free
-    BUSY = "busy"  # the start was rejected: another attempt of the task is still there
+    GANG_INCOMPLETE = "incomplete"  # not all tasks of its gang became ready in time
+    ERROR = "error"  # failed by itself
+    NO_CAPACITY = "full"  # the start was rejected: too few free resources on the machine
+    BUSY = "busy"  # the start was rejected: another attempt of the task is still present
     UNKNOWN = "unknown"  # the start was rejected: the worker does not know the job
 
 
@@ -71,18 +71,18 @@
 
 
 class WireTaskStatus(Struct, frozen=True):
-    """An item of a heartbeat's `parcels`, with the protocol's field names; hashable, since it is
-    the key of `task_status_cache`."""
+    """An item of a heartbeat's `parcels`, with the field names of the wire; hashable, since it is
+    a key of `task_status_cache`."""
 
     parcel: str  # job/task
     attempt: int = field(name="try")
     standing: str  # TaskState
     cause: str | None = None  # ExitReason, of an exited task
-    kept: bool | None = None  # whether its progress was saved before it ended
+    kept: bool | None = None  # its progress was saved before it ended
 
 
 class WireHeartbeat(Struct):
-    """The body of a heartbeat, with the protocol's field names and bounds."""
+    """The body of a heartbeat, with the field names of the wire and their bounds."""
 
     hall: Text
     tenure: Annotated[int, Meta(ge=0)]
@@ -97,8 +97,8 @@
 
 
 class TaskStatus:
-    """What a heartbeat says of one task. Immutable by convention: all heartbeats that say the same
-    share one object (see `task_status_cache`), so that identity tells that nothing has changed."""
+    """Status of one task in a heartbeat. Immutable by convention: heartbeats with an equal status
+    share one object (see `task_status_cache`), so an unchanged status is recognised by identity."""
 
     __slots__ = ("attempt", "checkpointed", "exit_reason", "job", "key", "state", "task")
 
@@ -124,19 +124,19 @@
     """A worker's report with the status of all its tasks."""
 
     machine: str
-    addr: str  # host:port at which the worker takes commands; empty if it is not known
+    addr: str  # host:port at which the worker accepts commands; empty if not known
     type: str
     zone: str
     spot: bool
     epoch: int  # incarnation of the worker: rises when its lease expires
     sequence: int  # number of the heartbeat within its epoch
-    fencing_token: int  # the highest that the worker has seen
-    notice_s: float | None  # s until the cloud takes the machine back, if that was announced
+    fencing_token: int  # the highest that the worker has received
+    notice_s: float | None  # s until the cloud reclaims the machine; None without such a notice
     tasks: list[TaskStatus]
 
 
 def decode_task_name(name: str) -> tuple[str, int]:
-    """Job id and task number of a task's name; ValueError if it is not one."""
+    """Split a task name into job id and task number; ValueError if it is not a task name."""
     job, _, number = name.rpartition("/")
     return job, int(number)
 
@@ -146,19 +146,19 @@
     state = TASK_STATES.get(item.standing)
     if state is None:
         raise ValueError("no such state of a task")
-    # An exit reason that is not known here counts as an error: the attempt is over in any case.
+    # An unknown exit reason is taken for an error, since the attempt has ended in any case.
     exit_reason = (
         EXIT_REASONS.get(item.cause or "", ExitReason.ERROR) if state is TaskState.EXITED else None
     )
     return TaskStatus(job, task, item.attempt, state, exit_reason, bool(item.kept))
 
 
-# Most items of a heartbeat are equal to those of the heartbeat before: they are not decoded again.
+# Most items of a heartbeat equal those of the previous one, and need not be decoded again.
 task_status_cache: DecodeCache[WireTaskStatus, TaskStatus] = DecodeCache(_decode_task_status)
 
 
 def decode_heartbeat(raw: dict[str, Any]) -> Heartbeat:
-    """The heartbeat in a request's body; MalformedError if it is invalid."""
+    """Decode the body of a heartbeat; MalformedError if it is invalid."""
     try:
         wire = msgspec.convert(raw, WireHeartbeat)
         tasks = [task_status_cache(item) for item in wire.parcels]
@@ -195,7 +195,7 @@
 
 
 class StopCommand(Struct, frozen=True, gc=False):
-    """Stop an attempt of a task, which may take `grace_s` seconds to save its progress."""
+    """Stop an attempt of a task. The task has `grace_s` seconds to save its progress."""
 
     job: str
     task: int
@@ -213,7 +213,7 @@
 
 
 class ForgetCommand(Struct, frozen=True, gc=False):
-    """Leave an ended attempt out of the heartbeats from now on."""
+    """Omit an ended attempt from future heartbeats."""
 
     job: str
     task: int
@@ -233,17 +233,17 @@
 
 def encode_heartbeat_response(fencing_token: int, commands: Sequence[Command]) -> dict[str, Any]:
     """The body of the response to a heartbeat."""
-    # Mostly there is nothing to do, and in CPython 3.11 a comprehension costs a call.
+    # Usually there are no commands, and in CPython 3.11 even an empty comprehension costs a call.
     encoded = [command.encode() for command in commands] if commands else []
     return {"mandate": fencing_token, "writs": encoded}
 
 
 def encode_commands(fencing_token: int, epoch: int, commands: Sequence[Command]) -> dict[str, Any]:
-    """The body of a request that brings commands to a worker of this epoch."""
+    """The body of a request that sends commands to a worker in this epoch."""
     encoded = [command.encode() for command in commands]
     return {"mandate": fencing_token, "tenure": epoch, "writs": encoded}
 
 
 def encode_redirect(leader_name: str) -> dict[str, Any]:
-    """The body of the response of a controller that does not lead: which one does."""
+    """The body of a follower's response, which tells a worker the name of the leader."""
     return {"steward": leader_name}
--- a/peathall/protocol/jobs.py
+++ b/peathall/protocol/jobs.py
@@ -1,7 +1,7 @@
-"""Jobs: submissions, their records, and responses about their status.
+"""Jobs: submissions, their records in the state service, and responses with their status.
 
 ===============  ==================================================
-protocol         here
+name on the wire name in this program
 ===============  ==================================================
 work             jobs, in paths
 withdraw         cancel, in paths
@@ -9,12 +9,12 @@
 desk             team
 shape            gang (`ensemble`), array (`sweep`), daemon
 precedence       priority, see `Priority`
-parcels          tasks, their number
+parcels          tasks, the number of them
 vcpus            cpus
 cards            gpus
 ram_gb           ram
 kit              image
-builds           types, of machines
+builds           types, machine types that are allowed
 ward             zone
 together         one_zone
 scatter          spread
@@ -41,11 +41,11 @@
 from peathall.protocol.fields import Amount, JobId, Text
 
 SUBMISSION_PATH = "/work"
-JOB_PATH = re.compile(r"/work/([^/]+)(/withdraw)?\Z")  # groups: job id; set for a cancellation
+JOB_PATH = re.compile(r"/work/([^/]+)(/withdraw)?\Z")  # groups: job id; present for a cancellation
 
 
 class Priority(IntEnum):
-    """Priority of a job: the lower value is placed first. The names are the protocol's words."""
+    """Priority of a job; lower values are placed first. The wire has the names in lower case."""
 
     CRITICAL = 0
     HIGH = 1
@@ -54,7 +54,7 @@
 
 
 class JobStatus(Enum):
-    """Status of a job, as its user is told; the values are the protocol's words."""
+    """Status of a job in responses to its user; the values are those of the wire."""
 
     QUEUED = "queued"  # no task runs
     RUNNING = "running"
@@ -63,8 +63,8 @@
 
 
 class WireJob(Struct):
-    """The body of a submission, with the protocol's field names and bounds; what is not named here
-    is ignored."""
+    """The body of a submission, with the field names of the wire and their bounds. Other fields are
+    ignored."""
 
     id: JobId
     docket: Text
@@ -89,40 +89,40 @@
 
 
 class JobSpec(Struct, frozen=True):
-    """A job as its user described it. Its field names are also those of its record in the state
-    service: a new name needs the old one as its encoded name."""
+    """A job as its user described it. Its record in the state service has the same field names, so
+    that a renamed field has to keep the old name as its encoded name."""
 
     id: str
     class_name: str
     team: str
     gang: bool
     priority: int
-    tasks: int  # their number
+    tasks: int  # number of tasks
     cpus: float
     gpus: float
-    ram: float  # GB for each task, as cpus and gpus are for each task
+    ram: float  # GB for each task; cpus and gpus are for each task as well
     image: str
     image_gb: float
-    types: list[str] | None  # machine types that it may run on; None: any
-    zone: str | None  # that it must run in; None: any
+    types: list[str] | None  # machine types that are allowed; None: any
+    zone: str | None  # zone that it must run in; None: any
     one_zone: bool  # all its tasks must run in the same zone
     spread: bool  # at most half of its tasks, rounded up, may run in one zone
-    spot: bool  # it may run on spot machines
+    spot: bool  # may run on spot machines
     estimate_s: float  # expected runtime of a task, by the user
-    checkpoint_s: float  # interval at which a task saves by itself; 0: it never saves
-    save_s: float  # time that a task needs to save when it is stopped
-    deadline_s: float | None  # within which it should end
-    submitted: float  # time of day at which it was accepted, s
-    daemon: bool = False  # its tasks, replicas, run until the job is cancelled
+    checkpoint_s: float  # interval at which a task saves its progress by itself; 0: never
+    save_s: float  # time that a task needs to save its progress when it is stopped
+    deadline_s: float | None  # time from submission within which it should end
+    submitted: float  # time of day at which it was accepted, in s
+    daemon: bool = False  # its tasks are replicas that run until the job is cancelled
 
     @property
     def expected_s(self) -> float:
-        """Expected runtime of a task, by its user; infinite for the replicas of a daemon."""
+        """Expected runtime of a task, estimated by its user; infinite for replicas of a daemon."""
         return math.inf if self.daemon else self.estimate_s
 
 
 def _check_finite(job: WireJob) -> None:
-    """MalformedError for infinity, which the bounds of `Amount` do not exclude."""
+    """Raise MalformedError for an infinite amount, which the bounds of `Amount` allow."""
     amounts = (
         job.vcpus,
         job.cards,
@@ -138,7 +138,7 @@
 
 
 def decode_submission(raw: dict[str, Any], submitted: float) -> JobSpec:
-    """The job in the body of a submission that is accepted at the time of day `submitted`;
+    """Decode the body of a submission that is accepted at the time of day `submitted`;
     MalformedError if it is invalid."""
     try:
         job = msgspec.convert(raw, WireJob)
@@ -172,19 +172,19 @@
 
 
 def spec_to_record(spec: JobSpec) -> dict[str, Any]:
-    """The job's record in the state service."""
+    """Convert a job to its record in the state service."""
     record: dict[str, Any] = msgspec.to_builtins(spec)
     return record
 
 
 def spec_from_record(record: dict[str, Any]) -> JobSpec:
-    """The job of a record; fields that are not known are ignored. msgspec.ValidationError if it is
-    not the record of a job."""
+    """Convert a record in the state service to the job; unknown fields are ignored.
+    msgspec.ValidationError if it is not the record of a job."""
     return msgspec.convert(record, JobSpec)
 
 
 def encode_job_status(
     job_id: str, status: JobStatus, done: int = 0, running: int = 0
 ) -> dict[str, Any]:
-    """The body of a response about a job; `done` and `running` are numbers of tasks."""
+    """The body of a response with a job's status; `done` and `running` are numbers of tasks."""
     return {"id": job_id, "standing": status.value, "done": done, "running": running}
