--- a/bench/cells_real.py
+++ b/bench/cells_real.py
@@ -48,7 +48,7 @@
     """Its controller that leads, by its own word."""
     for index, port in enumerate(site.back):
         try:
-            client = HttpClient(f"127.0.0.1:{port}", keep=0)
+            client = HttpClient(f"127.0.0.1:{port}", max_idle=0)
             _, raw = await client.request("GET", "/ping", b"", 1.0)
             if orjson.loads(raw)["leads"]:
                 return index
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -84,10 +84,10 @@
     rounds = 200
     began = time.process_time()
     for tick in range(rounds):
-        raw = codec.cbor_bytes(wire | {"tick": tick})
-        report = decode_heartbeat(codec.cbor_map(raw))
+        raw = codec.encode_cbor(wire | {"tick": tick})
+        report = decode_heartbeat(codec.decode_cbor_map(raw))
         _, answer = workers.handle_heartbeat(report, now)
-        codec.cbor_bytes(answer)
+        codec.encode_cbor(answer)
     each = (time.process_time() - began) / rounds
     kind = "aged jobs" if aged else "jobs"
     print(
--- a/bench/freezes.py
+++ b/bench/freezes.py
@@ -144,9 +144,9 @@
         "due_s": None,
     } | change  # fmt: skip
     for turn in range(600):
-        client = HttpClient(f"127.0.0.1:{site.api[(number + turn) % site.size]}", keep=0)
+        client = HttpClient(f"127.0.0.1:{site.api[(number + turn) % site.size]}", max_idle=0)
         try:
-            status, _ = await client.request("POST", "/work", codec.cbor_bytes(job), 3.0)
+            status, _ = await client.request("POST", "/work", codec.encode_cbor(job), 3.0)
             if status in (200, 201):
                 return str(job["id"])
         except NoAnswerError:
@@ -158,11 +158,11 @@
 async def standing(site: Site, job_id: str) -> str:
     for port in site.api:
         try:
-            status, raw = await HttpClient(f"127.0.0.1:{port}", keep=0).request(
+            status, raw = await HttpClient(f"127.0.0.1:{port}", max_idle=0).request(
                 "GET", f"/work/{job_id}", b"", 2.0
             )
             if status == 200:
-                return str(codec.cbor_any(raw)["standing"])
+                return str(codec.decode_cbor(raw)["standing"])
         except NoAnswerError:
             continue
     return "unknown"
--- a/bench/mixed_versions.py
+++ b/bench/mixed_versions.py
@@ -106,7 +106,7 @@
 
 async def request_json(port: int, method: str, path: str) -> tuple[int, Any]:
     """Status and body of a controller's response at its peer address; status 0 without one."""
-    client = HttpClient(f"127.0.0.1:{port}", "application/json", keep=0)
+    client = HttpClient(f"127.0.0.1:{port}", "application/json", max_idle=0)
     try:
         status, raw = await client.request(method, path, b"", 2.0)
         return status, orjson.loads(raw) if raw else None
@@ -116,11 +116,11 @@
 
 async def request(port: int, method: str, path: str, value: Any = None) -> tuple[int, Any]:
     """Status and body of a controller's response to a user; status 0 without one."""
-    body = b"" if value is None else codec.cbor_bytes(value)
+    body = b"" if value is None else codec.encode_cbor(value)
     try:
-        client = HttpClient(f"127.0.0.1:{port}", keep=0)
+        client = HttpClient(f"127.0.0.1:{port}", max_idle=0)
         status, raw = await client.request(method, path, body, 3.0)
-        return status, codec.cbor_any(raw)
+        return status, codec.decode_cbor(raw)
     except NoAnswerError:
         return 0, None
 
--- a/peathall/autoscaling/provider_client.py
+++ b/peathall/autoscaling/provider_client.py
@@ -50,10 +50,10 @@
         """The decoded answer; `keep` is the part of the burst to be left to other requests."""
         while (pause := self._rate_limit.try_acquire(1, self._loop.time(), keep)) > 0:
             await asyncio.sleep(pause)
-        data = b"" if value is None else codec.cbor_bytes(value)
+        data = b"" if value is None else codec.encode_cbor(value)
         try:
             status, raw = await self.http.request(method, path, data, constants.CLOUD_TIMEOUT_S)
-            answer = codec.cbor_any(raw)
+            answer = codec.decode_cbor(raw)
         except NoAnswerError as exc:
             raise CloudError(str(exc), exc.sent) from None
         except Exception as exc:
--- a/peathall/controller/leader_directory.py
+++ b/peathall/controller/leader_directory.py
@@ -26,5 +26,5 @@
         While the state service can't be reached, the leader that its watch named last may be one
         from before the loss of contact: then only the peers' own ping responses count.
         """
-        name = self._election.leader if self._store.is_fresh() else self._peers.leading()
+        name = self._election.leader if self._store.is_fresh() else self._peers.leader_name()
         return None if name == self._own_name else name
--- a/peathall/controller/user_routes.py
+++ b/peathall/controller/user_routes.py
@@ -52,7 +52,7 @@
             return self._respond(RETRY_LATER)
         raw: dict[str, Any] = {}
         try:
-            raw = codec.cbor_map(request.body)
+            raw = codec.decode_cbor_map(request.body)
             spec = self._decode_spec(raw)
         except codec.MalformedError as exc:
             return self._respond(await self._answer_malformed(raw.get("id"), str(exc)))
--- a/peathall/controller/worker_routes.py
+++ b/peathall/controller/worker_routes.py
@@ -47,7 +47,7 @@
         if not await self._queue.admit(RequestClass.HEARTBEAT):
             return codec.cbor_response(HTTPStatus.SERVICE_UNAVAILABLE, encode_error("too late"))
         try:
-            heartbeat = decode_heartbeat(codec.cbor_map(request.body))
+            heartbeat = decode_heartbeat(codec.decode_cbor_map(request.body))
         except codec.MalformedError as exc:
             return codec.cbor_response(HTTPStatus.BAD_REQUEST, encode_error(str(exc)))
         leader = self._leaders.local
--- a/peathall/http/client.py
+++ b/peathall/http/client.py
@@ -86,7 +86,7 @@
 class HttpClient:
     """Client for one address, with a pool of connections that each carry one request at a time.
 
-    At most `keep` idle connections are kept for later requests. `may_send` is called right
+    At most `max_idle` idle connections are kept for later requests. `may_send` is called right
     before a request is written: connecting takes time, and a leader whose lease has expired
     meanwhile must not send. The number of requests in flight is not limited.
     """
@@ -95,7 +95,7 @@
         self,
         addr: str,
         content_type: str = "application/cbor",
-        keep: int = 4,
+        max_idle: int = 4,
         may_send: Callable[[], bool] = lambda: True,
     ) -> None:
         host, _, port = addr.rpartition(":")
@@ -103,7 +103,7 @@
         self.host = host
         self.port = int(port)
         self.content_type = content_type
-        self.keep = keep
+        self.max_idle = max_idle
         self.may_send = may_send
         self.idle: list[ClientConnection] = []
         self.in_flight = 0  # requests
@@ -158,7 +158,7 @@
             # Cancellation as well: a late response must not be taken for that of a later request.
             connection.abort()
             raise
-        if connection.reusable and not connection.closed and len(self.idle) < self.keep:
+        if connection.reusable and not connection.closed and len(self.idle) < self.max_idle:
             connection.idle_since = asyncio.get_running_loop().time()
             self.idle.append(connection)
         else:
--- a/peathall/peers/client.py
+++ b/peathall/peers/client.py
@@ -28,7 +28,7 @@
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
-        self.client = HttpClient(peer.addr, "application/json", keep=8)
+        self.client = HttpClient(peer.addr, "application/json", max_idle=8)
         self.last_response_at = -1e9  # loop time; far in the past until the first response
         self.redirected: dict[str, HeartbeatOrder] = {}
         self.is_leader = False
@@ -105,7 +105,7 @@
         """Whether some peer has responded in the last `within_s` seconds."""
         return any(now - view.last_response_at < within_s for view in self.views.values())
 
-    def leading(self) -> str | None:
+    def leader_name(self) -> str | None:
         """Name of the peer whose latest ping response said that it is the leader."""
         return next((view.peer.name for view in self.views.values() if view.is_leader), None)
 
--- a/peathall/protocol/codec.py
+++ b/peathall/protocol/codec.py
@@ -21,7 +21,7 @@
     """A request body violates the protocol. The sender receives the message of this error."""
 
 
-def cbor_map(body: bytes) -> dict[str, Any]:
+def decode_cbor_map(body: bytes) -> dict[str, Any]:
     """Decode a body that must be a map with text keys; MalformedError if it is not."""
     if not body or len(body) > constants.MAX_BODY:
         raise MalformedError("empty or too large")
@@ -36,12 +36,12 @@
     return value
 
 
-def cbor_any(body: bytes) -> Any:
+def decode_cbor(body: bytes) -> Any:
     """Decode a body; None if it is empty. Exceptions of cbor2 are passed on."""
     return cbor2.loads(body) if body else None
 
 
-def cbor_bytes(value: Any) -> bytes:
+def encode_cbor(value: Any) -> bytes:
     """Encode a value as CBOR."""
     return cbor2.dumps(value)
 
--- a/peathall/protocol/state_service.py
+++ b/peathall/protocol/state_service.py
@@ -136,7 +136,7 @@
     return list(raw["failed"])
 
 
-def names_ended_lease(raw: dict[str, Any] | None) -> bool:
+def is_ended_lease_error(raw: dict[str, Any] | None) -> bool:
     """Whether a transaction was rejected as invalid because a lease in it has ended."""
     return "lease" in str((raw or {}).get("error", ""))
 
--- a/peathall/status_command.py
+++ b/peathall/status_command.py
@@ -51,7 +51,7 @@
         failures: list[str] = []
         for address in addresses:
             try:
-                status, raw = await HttpClient(address, "application/json", keep=0).request(
+                status, raw = await HttpClient(address, "application/json", max_idle=0).request(
                     "POST", self.path, b"", constants.DUTY_ASK_S
                 )
                 if status == HTTPStatus.OK:
--- a/peathall/store/client.py
+++ b/peathall/store/client.py
@@ -74,7 +74,7 @@
         timeout: float = constants.STORE_TIMEOUT_S,
         http: HttpClient | None = None,
     ) -> StoreResponse:
-        data = b"" if value is None else codec.cbor_bytes(value)
+        data = b"" if value is None else codec.encode_cbor(value)
         try:
             status, raw = await (http or self.http).request(method, path, data, timeout)
         except NoAnswerError as exc:
@@ -89,7 +89,7 @@
         self.last_response_at = self.loop.time()
         self.failing = False
         try:
-            return StoreResponse(status, codec.cbor_any(raw))
+            return StoreResponse(status, codec.decode_cbor(raw))
         # Malformed bytes make the decoder raise various errors: recursion, memory, value.
         except Exception as exc:
             raise OutcomeUnknownError(f"malformed response of the state service: {exc}") from None
@@ -139,7 +139,7 @@
             return state_service.revision_from_wire(body)
         if status == HTTPStatus.CONFLICT:
             raise ConflictError(state_service.failed_conditions_from_wire(body))
-        if status == HTTPStatus.BAD_REQUEST and state_service.names_ended_lease(body):
+        if status == HTTPStatus.BAD_REQUEST and state_service.is_ended_lease_error(body):
             raise LeaseExpiredError
         if status == HTTPStatus.BAD_REQUEST:
             raise InvalidTransactionError(f"commit: {status} {body}")
--- a/peathall/workers/delivery.py
+++ b/peathall/workers/delivery.py
@@ -84,12 +84,12 @@
         if message is None or not self.is_leader():
             return
         status, raw = await self._client(machine.addr).request(
-            "POST", COMMANDS_PATH, codec.cbor_bytes(message), constants.DIRECT_TIMEOUT_S
+            "POST", COMMANDS_PATH, codec.encode_cbor(message), constants.DIRECT_TIMEOUT_S
         )
         if status != 200:
             log.info("direct commands to machine %s refused: status %d", machine.name, status)
         elif self.is_leader():
-            self.source.note_command_response(machine, decode_heartbeat(codec.cbor_map(raw)))
+            self.source.note_command_response(machine, decode_heartbeat(codec.decode_cbor_map(raw)))
 
     def _client(self, addr: str) -> HttpClient:
         """The client for a worker.
@@ -99,7 +99,7 @@
         """
         client = self._clients.get(addr)
         if client is None:
-            client = self._clients[addr] = HttpClient(addr, keep=1, may_send=self.is_leader)
+            client = self._clients[addr] = HttpClient(addr, max_idle=1, may_send=self.is_leader)
         self._clients.move_to_end(addr)
         idle = [
             a for a, other in self._clients.items() if not other.in_flight and other is not client
--- a/peathall/workers/probes.py
+++ b/peathall/workers/probes.py
@@ -45,7 +45,7 @@
                 self._under_way[machine.name] = asyncio.create_task(self._probe(machine))
 
     async def _probe(self, machine: Machine) -> None:
-        client = HttpClient(machine.addr, keep=0, may_send=self.is_leader)
+        client = HttpClient(machine.addr, max_idle=0, may_send=self.is_leader)
         try:
             for _ in range(constants.PROBE_TRIES):
                 if await self._answers(client):
