--- a/bench/cells_real.py
+++ b/bench/cells_real.py
@@ -49,7 +49,7 @@
     """Index of the controller that says it leads; 0 if none does."""
     for index, port in enumerate(site.peer_ports):
         try:
-            client = HttpClient(f"127.0.0.1:{port}", keep=0)
+            client = HttpClient(f"127.0.0.1:{port}", max_idle=0)
             _, raw = await client.request("GET", "/ping", b"", 1.0)
             if orjson.loads(raw)["leads"]:
                 return index
--- a/bench/cost.py
+++ b/bench/cost.py
@@ -87,10 +87,10 @@
     rounds = 200
     began = time.process_time()
     for tick in range(rounds):
-        raw = codec.cbor_bytes(heartbeat | {"tick": tick})
-        decoded = decode_heartbeat(codec.cbor_map(raw))
+        raw = codec.encode_cbor(heartbeat | {"tick": tick})
+        decoded = decode_heartbeat(codec.decode_cbor_map(raw))
         _, response = workers.handle_heartbeat(decoded, now)
-        codec.cbor_bytes(response)
+        codec.encode_cbor(response)
     heartbeat_s = (time.process_time() - began) / rounds
     job_kind = "starving jobs" if starving else "jobs"
     print(
--- a/bench/freezes.py
+++ b/bench/freezes.py
@@ -146,10 +146,10 @@
     } | overrides  # fmt: skip
     for attempt in range(600):
         client = HttpClient(
-            f"127.0.0.1:{site.api_ports[(number + attempt) % site.controller_count]}", keep=0
+            f"127.0.0.1:{site.api_ports[(number + attempt) % site.controller_count]}", max_idle=0
         )
         try:
-            status, _ = await client.request("POST", "/work", codec.cbor_bytes(job), 3.0)
+            status, _ = await client.request("POST", "/work", codec.encode_cbor(job), 3.0)
             if status in (200, 201):
                 return str(job["id"])
         except NoAnswerError:
@@ -161,11 +161,11 @@
 async def job_status(site: Site, job_id: str) -> str:
     for port in site.api_ports:
         try:
-            status, raw = await HttpClient(f"127.0.0.1:{port}", keep=0).request(
+            status, raw = await HttpClient(f"127.0.0.1:{port}", max_idle=0).request(
                 "GET", f"/work/{job_id}", b"", 2.0
             )
             if status == 200:
-                return str(codec.cbor_any(raw)["standing"])
+                return str(codec.decode_cbor(raw)["standing"])
         except NoAnswerError:
             continue
     return "unknown"
--- a/peathall/cells/client.py
+++ b/peathall/cells/client.py
@@ -77,7 +77,7 @@
 
     async def user_request(self, request: UserRequest) -> UserResponse:
         """Pass on a user's request and return the response; CellError if there is none."""
-        return await self._request(USER_PATH, request, UserResponse, constants.FORWARD_S)
+        return await self._request(USER_PATH, request, UserResponse, constants.FORWARD_TIMEOUT_S)
 
     async def _request(
         self, path: str, message: msgspec.Struct, response_type: type[ResponseType], timeout: float
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -6,25 +6,24 @@
 """
 
 # --- HTTP ---------------------------------------------------------------------------------------
-MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for a request body
-IDLE_CONNECTION_S = 40.0  # users poll every 5 s, workers every 3 s: the client is gone by then
-SLOW_REQUEST_S = 10.0  # a request that takes longer to arrive comes from a slow or broken client
-CONNECTION_SWEEP_S = 5.0  # between checks of all connections for idle and slow ones
-PUBLIC_SOCKET_SHARE = 0.75  # of the socket limit: connections of workers and users
-# Share of those connections in use above which a worker's connection is closed after each response:
-# workers can reconnect at little cost.
-NEAR_LIMIT_SHARE = 0.85
-PEER_SOCKET_SHARE = 0.1  # of the socket limit: connections of other controllers
-# Of the socket limit: commands sent directly to workers. The rest is for this controller's other
-# requests.
+MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for request bodies
+# Users poll every 5 s and workers send heartbeats every 3 s: a longer idle connection is abandoned.
+IDLE_CONNECTION_TIMEOUT_S = 40.0
+REQUEST_RECEIVE_TIMEOUT_S = 10.0  # only slow or broken clients take longer to send a request
+CONNECTION_SWEEP_INTERVAL_S = 5.0  # one timer closes all idle and slow connections
+PUBLIC_SOCKET_SHARE = 0.75  # of the socket limit, for connections from workers and users
+# Share of these connections in use: above it workers' connections close after each response.
+NEAR_CONNECTION_LIMIT_SHARE = 0.85
+PEER_SOCKET_SHARE = 0.1  # of the socket limit, for connections from other controllers
+# Of the socket limit, for direct commands to workers. The rest is for other outgoing requests.
 DIRECT_COMMAND_SOCKET_SHARE = 0.1
-CONNECT_TIMEOUT_S = 1.0  # a connection attempt across a network partition hangs without an error
-POOL_IDLE_S = 20.0  # a pooled connection that has been idle for longer is not reused
+CONNECT_TIMEOUT_S = 1.0  # connecting across a network partition hangs without an error
+POOL_MAX_IDLE_S = 20.0  # a pooled connection that was idle for longer is not reused
 
-# --- request queue: how long a request may wait for admission under overload ---------------------
-HEARTBEAT_QUEUE_S = 3.0  # a worker waits 4 s for the response
-WRITE_QUEUE_S = 3.5  # a user waits 5 s for the response to a submission or cancellation
-QUERY_QUEUE_S = 1.2  # a user waits 2 s for the response to a poll
+# --- request queue: maximum wait for admission under overload ------------------------------------
+HEARTBEAT_QUEUE_TIMEOUT_S = 3.0  # a worker waits 4 s for the response
+WRITE_QUEUE_TIMEOUT_S = 3.5  # a user waits 5 s for the response to a submission or cancellation
+QUERY_QUEUE_TIMEOUT_S = 1.2  # a user waits 2 s for the response to a poll
 
 # --- state service ------------------------------------------------------------------------------
 STORE_TIMEOUT_S = 1.5  # responses take 10 ms, occasionally a few hundred
@@ -204,19 +203,20 @@
 IDLE_HOLD_STARTUP_FACTOR = 1.0
 
 # --- peers --------------------------------------------------------------------------------------
-FORWARD_S = 1.2  # a user waits 2 s for a query, so the store can still be read after this
-# A leader that responds to nobody for so long is bypassed: creating the job in the store directly
-# is as good, and sooner.
-FORWARD_ACCEPT_S = 0.1
-ACCEPT_S = 1.5  # a commit usually takes 10 ms; after this the user is told when to retry
-RETRY_AFTER_S = 1  # sent with 503: the earliest at which users retry
-FOLLOWER_READ_S = 0.7  # a read of the store without a leader must leave time for the response
-STORE_FRESH_S = 8.0  # a follower's watch gets a response at least this often
-PEER_FRESH_S = 4.0  # some peer responds to a ping at least this often
-PING_S = 1.5  # between pings of each peer
-REDIRECTED_S = 6.0  # heartbeats that a follower redirected are told to the leader for so long
-HEARTBEAT_ORDER_MEMORY_S = 120.0  # late copies of heartbeats are recognised as old for this long
-JUST_STARTED_S = 6.0  # a controller that has just started reports itself healthy for so long
+# A user waits 2 s for a query, so that the state service can still be read after this timeout.
+FORWARD_TIMEOUT_S = 1.2
+# Timeout of a forwarded submission while the leader responds to nothing: creating the job in the
+# state service directly is as good, and faster.
+FORWARD_ACCEPT_TIMEOUT_S = 0.1
+ACCEPT_TIMEOUT_S = 1.5  # a commit usually takes 10 ms; then the response is 503 with Retry-After
+RETRY_AFTER_S = 1  # value of Retry-After in responses with status 429, 503 or 504
+FOLLOWER_TIMEOUT_S = 0.7  # access to the state service without a leader; leaves time to respond
+STORE_FRESH_S = 8.0  # a working watch gets a response at least this often, see WATCH_HOLD_S
+PEER_FRESH_S = 4.0  # without a response of any peer for this long, peers count as unreachable
+PING_INTERVAL_S = 1.5  # between pings to each peer; also their timeout
+REDIRECTED_MAX_AGE_S = 6.0  # a follower reports a redirected heartbeat to the leader for this long
+HEARTBEAT_ORDER_RETENTION_S = 120.0  # for this long delayed copies of heartbeats are recognised
+STARTUP_GRACE_S = 6.0  # after its start a controller passes health checks for this long
 
 # --- duties -------------------------------------------------------------------------------------
 DUTY_RENEWALS_PER_LEASE = 5.0  # attempts to renew a lease on a duty within its duration
--- a/peathall/controller/health.py
+++ b/peathall/controller/health.py
@@ -35,8 +35,8 @@
     def response(self) -> Response:
         """The response to a health check: 503 while isolated.
 
-        For JUST_STARTED_S after startup it is 200, since nobody may have responded yet.
+        For STARTUP_GRACE_S after startup it is 200, since nobody may have responded yet.
         """
-        just_started = self._loop.time() - self._started_at < constants.JUST_STARTED_S
+        just_started = self._loop.time() - self._started_at < constants.STARTUP_GRACE_S
         healthy = just_started or not self.is_isolated()
         return Response(HTTPStatus.OK if healthy else HTTPStatus.SERVICE_UNAVAILABLE)
--- a/peathall/controller/job_requests.py
+++ b/peathall/controller/job_requests.py
@@ -67,10 +67,10 @@
     async def _forward(self, leader_name: str, request: JobRequest) -> JobResponse | None:
         """The leader's response; None if it did not respond, or responded with 503."""
         accepts = isinstance(request, AcceptRequest)
-        timeout = constants.FORWARD_ACCEPT_S if accepts else constants.FORWARD_S
+        timeout = constants.FORWARD_ACCEPT_TIMEOUT_S if accepts else constants.FORWARD_TIMEOUT_S
         try:
             status, value = await self._peers.forward(
-                leader_name, request, timeout, constants.ACCEPT_S
+                leader_name, request, timeout, constants.ACCEPT_TIMEOUT_S
             )
         except NoAnswerError as exc:
             log.debug(
@@ -90,7 +90,7 @@
         else:
             return RETRY_LATER  # only the leader can cancel a job, since it keeps the job in memory
         try:
-            return await asyncio.wait_for(response, constants.FOLLOWER_READ_S)
+            return await asyncio.wait_for(response, constants.FOLLOWER_TIMEOUT_S)
         except (StoreError, TimeoutError) as exc:
             log.debug("job request: state service failed or timed out, user told to retry: %s", exc)
             return RETRY_LATER
--- a/peathall/controller/leader_directory.py
+++ b/peathall/controller/leader_directory.py
@@ -25,5 +25,5 @@
         While the state service can't be reached, the leader last read from it may be outdated, so
         the leader is then taken from the peers' ping responses.
         """
-        name = self._election.leader if self._store.is_fresh() else self._peers.leading()
+        name = self._election.leader if self._store.is_fresh() else self._peers.leader_name()
         return None if name == self._own_name else name
