--- a/peathall/config/platform.py
+++ b/peathall/config/platform.py
@@ -1,7 +1,8 @@
 """The platform's settings file (TOML): its sections, their bounds, and the checks across sections.
 
-A field has its name in the file, or gives that name with `field(name=...)`. The unit is the end of
-a field's name: `_s` seconds, `_ms` milliseconds, `_kb` KiB, `_mb` MiB, `rps` requests per second.
+Fields have the same names as in the file, except where `field(name=...)` gives the file's name. The
+end of a name is the unit: `_s` seconds, `_ms` milliseconds, `_kb` KiB, `_mb` MiB, `rps` requests
+per second.
 Unknown fields in the file are ignored.
 """
 
--- a/peathall/constants.py
+++ b/peathall/constants.py
@@ -7,7 +7,8 @@
 
 # --- HTTP ---------------------------------------------------------------------------------------
 MAX_BODY_BYTES = 64 * 1024  # the protocol's limit for request bodies
-# Users poll every 5 s and workers send heartbeats every 3 s: a longer idle connection is abandoned.
+# Users poll every 5 s, workers send heartbeats every 3 s: a connection that is idle for longer is
+# abandoned.
 IDLE_CONNECTION_TIMEOUT_S = 40.0
 REQUEST_RECEIVE_TIMEOUT_S = 10.0  # only slow or broken clients take longer to send a request
 CONNECTION_SWEEP_INTERVAL_S = 5.0  # one timer closes all idle and slow connections
@@ -203,7 +204,8 @@
 IDLE_HOLD_STARTUP_FACTOR = 1.0
 
 # --- peers --------------------------------------------------------------------------------------
-# A user waits 2 s for a query, so that the state service can still be read after this timeout.
+# A user waits 2 s for the response to a query: after this timeout, time is left to read the state
+# service instead.
 FORWARD_TIMEOUT_S = 1.2
 # Timeout of a forwarded submission while the leader responds to nothing: creating the job in the
 # state service directly is as good, and faster.
@@ -215,8 +217,8 @@
 PEER_FRESH_S = 4.0  # without a response of any peer for this long, peers count as unreachable
 PING_INTERVAL_S = 1.5  # between pings to each peer; also their timeout
 REDIRECTED_MAX_AGE_S = 6.0  # a follower reports a redirected heartbeat to the leader for this long
-HEARTBEAT_ORDER_RETENTION_S = 120.0  # for this long delayed copies of heartbeats are recognised
-STARTUP_GRACE_S = 6.0  # after its start a controller passes health checks for this long
+HEARTBEAT_ORDER_RETENTION_S = 120.0  # delayed copies of heartbeats are recognised for this long
+STARTUP_GRACE_S = 6.0  # a controller reports itself healthy for this long after its start
 
 # --- duties -------------------------------------------------------------------------------------
 DUTY_RENEWALS_PER_LEASE = 5.0  # attempts to renew a lease on a duty within its duration
--- a/peathall/http/request_queue.py
+++ b/peathall/http/request_queue.py
@@ -45,8 +45,8 @@
 
 class RequestQueue:
     """Admits one request per iteration of the event loop, so that other due callbacks, above all
-    the renewal of the leader lease, run between two requests instead of after all of them. The
-    first request of an iteration in which none is queued is admitted at once."""
+    the renewal of the leader lease, run between two requests instead of after all of them. A
+    request is admitted at once if none is queued and none was admitted in this iteration."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
--- a/peathall/http/server.py
+++ b/peathall/http/server.py
@@ -77,7 +77,7 @@
             return
         if self.phase is ConnectionPhase.SERVING:
             # Clients usually do not pipeline. Data that arrives meanwhile is parsed after the
-            # response, and its size is limited like that of one body.
+            # response, so that requests are served in order; its size is limited like a body's.
             self.pipelined.append(data)
             if sum(map(len, self.pipelined)) > constants.MAX_BODY_BYTES:
                 self.close()
--- a/peathall/operator_config/settings.py
+++ b/peathall/operator_config/settings.py
@@ -14,7 +14,8 @@
     """The whole operators' settings file. A controller without one uses the defaults. Unknown
     fields are an error."""
 
-    # How long idle machines are kept; None: scale-in weighs what they cost.
+    # How long idle machines are kept; None: scale-in derives it from startup times, prices, quota
+    # guarantees and recent submissions.
     idle_hold_s: NotNegative | None = None
     duties: DutySettings | None = None
     cells: CellSettings | None = None
--- a/peathall/peers/messages.py
+++ b/peathall/peers/messages.py
@@ -1,7 +1,7 @@
 """Messages between controllers, in JSON.
 
 During an upgrade controllers of different versions exchange these messages. The names on the wire,
-which are the field and tag names below, must therefore not change.
+which are the encoded field names and the tags below, must therefore not change.
 """
 
 from __future__ import annotations
--- a/peathall/peers/redirected_workers.py
+++ b/peathall/peers/redirected_workers.py
@@ -29,8 +29,8 @@
         for worker, (_, at) in list(self._latest.items()):
             if now - at > constants.HEARTBEAT_ORDER_RETENTION_S:
                 del self._latest[worker]
-        # The number is not limited: the leader would consider a live machine that is missing here
-        # silent, and delete it.
+        # The number of entries is not limited: a live machine that is missing here would count as
+        # silent for the leader, which would delete it.
         return {
             worker: order
             for worker, (order, at) in self._latest.items()
--- a/peathall/protocol/cloud.py
+++ b/peathall/protocol/cloud.py
@@ -130,8 +130,8 @@
 
 
 def machine_page_path(size: int, after: str) -> str:
-    """Path and query of a page of at most `size` machines. It begins behind the machine `after`,
-    or at the start of the list if `after` is empty."""
+    """Path and query of a page of at most `size` machines. The page begins after the machine
+    `after`, or at the start of the list if `after` is empty."""
     path = f"{MACHINES_PATH}?most={size}"
     return f"{path}&after={quote(after)}" if after else path
 
--- a/peathall/protocol/heartbeats.py
+++ b/peathall/protocol/heartbeats.py
@@ -245,5 +245,5 @@
 
 
 def encode_redirect(leader_name: str) -> dict[str, Any]:
-    """The body of a follower's response, which tells a worker the name of the leader."""
+    """The body of a follower's response to a heartbeat: it names the leader to the worker."""
     return {"steward": leader_name}
--- a/peathall/protocol/jobs.py
+++ b/peathall/protocol/jobs.py
@@ -41,7 +41,7 @@
 from peathall.protocol.fields import Amount, JobId, Text
 
 SUBMISSION_PATH = "/work"
-JOB_PATH = re.compile(r"/work/([^/]+)(/withdraw)?\Z")  # groups: job id; present for a cancellation
+JOB_PATH = re.compile(r"/work/([^/]+)(/withdraw)?\Z")  # groups: job id; "/withdraw" or None
 
 
 class Priority(IntEnum):
@@ -89,8 +89,8 @@
 
 
 class JobSpec(Struct, frozen=True):
-    """A job as its user described it. Its record in the state service has the same field names, so
-    that a renamed field has to keep the old name as its encoded name."""
+    """A job as its user described it. Its record in the state service has the same field names: a
+    field that is renamed must keep its old name as its encoded name."""
 
     id: str
     class_name: str
